--- a/benchmarks/crashes.py
+++ b/benchmarks/crashes.py
@@ -22,7 +22,7 @@
 from lifttrestle.internal.fleet.crashes.messages import CrashItem
 from lifttrestle.internal.fleet.crashes.messages import CrashNews
 from lifttrestle.internal.fleet.path.request_digest import build_request_digest
-from lifttrestle.internal.fleet.policy.admission import Admitted
+from lifttrestle.internal.fleet.policy.admission import AdmittedRequest
 from lifttrestle.internal.fleet.state.catalogue import Workspace
 from lifttrestle.internal.fleet.state.load_messages import read_message
 from lifttrestle.internal.fleet.state.load_messages import write_message
@@ -41,7 +41,7 @@
 def time_digest(size: int) -> float:
     """Return the microseconds that a digest takes."""
     workspace = Workspace('acme', None, False)
-    admitted = Admitted(None, None, workspace)  # type: ignore[arg-type]
+    admitted = AdmittedRequest(None, None, workspace)  # type: ignore[arg-type]
     head = RequestHead('POST', '/lepu270/2f')
     body = bytes(size)
     began = time.perf_counter()
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -26,7 +26,7 @@
 from lifttrestle.internal.clock.manual import ManualClock
 from lifttrestle.internal.fleet.path.dialect import Generation
 from lifttrestle.internal.fleet.path.dialect import PromptPart
-from lifttrestle.internal.fleet.policy.engine_costs import Surroundings
+from lifttrestle.internal.fleet.policy.engine_costs import PlacementContext
 from lifttrestle.internal.fleet.policy.placement import choose_engine
 from lifttrestle.internal.fleet.state.directory import UpstreamDirectory
 from lifttrestle.internal.fleet.state.load_aggregation import LoadAggregator
@@ -87,7 +87,7 @@
             generation,
             'shared',
             self.parts,
-            Surroundings(self.clock.monotonic(), 'a', 1, slots=24),
+            PlacementContext(self.clock.monotonic(), 'a', 1, slots=24),
             self.source,
         )
 
--- a/src/lifttrestle/internal/fleet/limits/held_limit.py
+++ b/src/lifttrestle/internal/fleet/limits/held_limit.py
@@ -17,7 +17,7 @@
 
 from lifttrestle.internal.fleet.limits.messages import LimitItem
 from lifttrestle.internal.fleet.policy.limit_belief import LimitBelief
-from lifttrestle.internal.fleet.policy.limit_belief import LimitSign
+from lifttrestle.internal.fleet.policy.limit_belief import LimitObservation
 from lifttrestle.internal.fleet.policy.limit_permits import PermitBucket
 
 # A datagram between two routers takes less than this; what it tells may be
@@ -77,7 +77,7 @@
     def build_item(self, now: float) -> LimitItem:
         """Return what is told of it."""
         belief = self.belief
-        begin, end = belief.named.begin, belief.named.end
+        begin, end = belief.latest.begin, belief.latest.end
         if belief.rate is None:
             begin = end = belief.ended_at
         return LimitItem(
@@ -110,10 +110,10 @@
         return self.bucket is not None and self.bucket.share >= 1.0
 
 
-def read_sign(item: LimitItem, now: float) -> LimitSign:
+def read_sign(item: LimitItem, now: float) -> LimitObservation:
     """Return the sign that an item tells of."""
     begin = now - item.begun - TRANSIT_SECONDS
     if item.rate is None:
         # It was certain when it was told: only its own end counts.
         begin = now - item.heard
-    return LimitSign(item.rate, begin, now - item.heard)
+    return LimitObservation(item.rate, begin, now - item.heard)
--- a/src/lifttrestle/internal/fleet/limits/listing.py
+++ b/src/lifttrestle/internal/fleet/limits/listing.py
@@ -44,7 +44,7 @@
 
 def _list_one(held: HeldLimit, now: float) -> ListedLimit:
     belief = held.belief
-    named = belief.named.end if belief.rate is not None else belief.ended_at
+    named = belief.latest.end if belief.rate is not None else belief.ended_at
     bucket = held.bucket
     return ListedLimit(
         held.start,
--- a/src/lifttrestle/internal/fleet/limits/memory.py
+++ b/src/lifttrestle/internal/fleet/limits/memory.py
@@ -33,8 +33,8 @@
 from lifttrestle.internal.fleet.limits.registry import LimitRegistry
 from lifttrestle.internal.fleet.limits.telling import LimitTelling
 from lifttrestle.internal.fleet.limits.telling import Send
-from lifttrestle.internal.fleet.policy.limit_belief import LimitSign
-from lifttrestle.internal.fleet.policy.limit_belief import NamedLimit
+from lifttrestle.internal.fleet.policy.limit_belief import LimitObservation
+from lifttrestle.internal.fleet.policy.limit_belief import ReportedLimit
 from lifttrestle.internal.fleet.state.directory import UpstreamDirectory
 from lifttrestle.internal.fleet.state.roster import Roster
 from lifttrestle.internal.fleet.state.upstream import FleetUpstream
@@ -112,7 +112,7 @@
         return sum(1 for _ in self)
 
     def note_answer(
-        self, upstream: FleetUpstream, named: NamedLimit, sent_at: float
+        self, upstream: FleetUpstream, named: ReportedLimit, sent_at: float
     ) -> None:
         """Take in what an answer says; a fault is told once a start.
 
@@ -126,7 +126,7 @@
         if named.rate is None and self._registry.get(upstream.digest) is None:
             return
         held = self._registry.hold(upstream)
-        sign = LimitSign(named.rate, sent_at, self._clock.monotonic())
+        sign = LimitObservation(named.rate, sent_at, self._clock.monotonic())
         if self._registry.note(held, sign, 'an answer'):
             self._telling.tell_soon(held)
 
--- a/src/lifttrestle/internal/fleet/limits/permits.py
+++ b/src/lifttrestle/internal/fleet/limits/permits.py
@@ -23,7 +23,7 @@
 from lifttrestle.internal.fleet.limits.questions import PermitQuestions
 from lifttrestle.internal.fleet.limits.registry import LimitRegistry
 from lifttrestle.internal.fleet.limits.telling import LimitTelling
-from lifttrestle.internal.fleet.policy.limit_permits import FIRST_CHOICE_RANK
+from lifttrestle.internal.fleet.policy.limit_permits import FIRST_FLEXIBLE_RANK
 from lifttrestle.internal.fleet.state.directory import UpstreamDirectory
 from lifttrestle.internal.fleet.state.roster import Roster
 from lifttrestle.internal.fleet.state.roster import ROUTER_PREFIX
@@ -87,7 +87,7 @@
         belief = held.belief
         if belief.rate is None:
             return permit
-        age = now - belief.named.end
+        age = now - belief.latest.end
         return dataclasses.replace(permit, rate=belief.rate, age=age)
 
     async def _ask_allocators(self, held: HeldLimit, rank: int) -> Permit:
@@ -96,7 +96,7 @@
             if answer is None:
                 self.count('unanswered')
                 self._allocators.avoid(key)
-                if rank >= FIRST_CHOICE_RANK:
+                if rank >= FIRST_FLEXIBLE_RANK:
                     # It does not wait for a second answer.
                     break
                 continue
--- a/src/lifttrestle/internal/fleet/limits/registry.py
+++ b/src/lifttrestle/internal/fleet/limits/registry.py
@@ -20,7 +20,7 @@
 from lifttrestle.internal.fleet.limits.held_limit import read_sign
 from lifttrestle.internal.fleet.limits.messages import LimitItem
 from lifttrestle.internal.fleet.policy.limit_belief import LimitChange
-from lifttrestle.internal.fleet.policy.limit_belief import LimitSign
+from lifttrestle.internal.fleet.policy.limit_belief import LimitObservation
 from lifttrestle.internal.fleet.policy.limit_permits import PermitBucket
 from lifttrestle.internal.fleet.state.upstream import FleetUpstream
 from lifttrestle.internal.telemetry.event_log import get_event_log
@@ -70,13 +70,15 @@
         if held is not None and held.needs_permits:
             LOG.info('limit.gone', start=held.start)
 
-    def note(self, held: HeldLimit, sign: LimitSign, source: str) -> bool:
+    def note(
+        self, held: HeldLimit, sign: LimitObservation, source: str
+    ) -> bool:
         """Take in a sign; return whether it changes anything.
 
         :param source: who says so, for the log.
         """
         before = held.belief.rate
-        change = held.belief.note(sign)
+        change = held.belief.update(sign)
         if change is LimitChange.NOTHING:
             return False
         now = self._clock.monotonic()
@@ -145,7 +147,7 @@
         """
         if held.bucket is None or not held.gives_all:
             return False
-        return held.bucket.is_over(now)
+        return held.bucket.has_recovered(now)
 
     def look(self) -> list[HeldLimit]:
         """End recoveries that are over and return them; drop what is old."""
--- a/src/lifttrestle/internal/fleet/loads/engine_control.py
+++ b/src/lifttrestle/internal/fleet/loads/engine_control.py
@@ -17,10 +17,10 @@
 import dataclasses
 import enum
 
-from lifttrestle.internal.fleet.policy.limit_belief import NamedLimit
+from lifttrestle.internal.fleet.policy.limit_belief import ReportedLimit
 from lifttrestle.internal.fleet.state.upstream import FleetUpstream
 
-LimitNote = Callable[[FleetUpstream, NamedLimit, float], None]
+LimitNote = Callable[[FleetUpstream, ReportedLimit, float], None]
 
 
 @dataclasses.dataclass(frozen=True)
@@ -71,7 +71,7 @@
 
 
 def _note_nowhere(
-    engine: FleetUpstream, named: NamedLimit, sent_at: float
+    engine: FleetUpstream, named: ReportedLimit, sent_at: float
 ) -> None:
     """Note nothing."""
 
--- a/src/lifttrestle/internal/fleet/loads/weights_loader.py
+++ b/src/lifttrestle/internal/fleet/loads/weights_loader.py
@@ -33,12 +33,12 @@
 from lifttrestle.internal.fleet.loads.engine_control import LoadOrder
 from lifttrestle.internal.fleet.loads.engine_control import OrderOutcome
 from lifttrestle.internal.fleet.loads.load_tracking import LoadTracker
-from lifttrestle.internal.fleet.policy.load_pacing import count_room
-from lifttrestle.internal.fleet.policy.load_pacing import find_turn
+from lifttrestle.internal.fleet.policy.load_pacing import count_loadable
+from lifttrestle.internal.fleet.policy.load_pacing import find_takeover_time
+from lifttrestle.internal.fleet.policy.load_pacing import LeaseState
 from lifttrestle.internal.fleet.policy.load_pacing import list_engines
 from lifttrestle.internal.fleet.policy.load_pacing import list_outdated
 from lifttrestle.internal.fleet.policy.load_pacing import ORDER_SECONDS
-from lifttrestle.internal.fleet.policy.load_pacing import Turn
 from lifttrestle.internal.fleet.settings import Promises
 from lifttrestle.internal.fleet.state.directory import UpstreamDirectory
 from lifttrestle.internal.fleet.state.operator_view import OperatorView
@@ -165,13 +165,15 @@
         holder = None
         if held.plan is not None and held.plan.holder != self._holder:
             holder = f'{ROUTER_PREFIX}{held.plan.holder}'
-        turn = Turn(
+        turn = LeaseState(
             needed_since=self._needed_since[model],
             held_at=held.seen_at,
             holder=holder,
             lease_seconds=self.promises.lease_seconds,
         )
-        return find_turn(model, self._roster.routers, self._roster.key, turn)
+        return find_takeover_time(
+            model, self._roster.routers, self._roster.key, turn
+        )
 
     async def _load_next(
         self,
@@ -181,7 +183,7 @@
         outdated: list[FleetUpstream],
     ) -> None:
         engines = self._list_engines(model)
-        room = count_room(engines, self._clock.monotonic()) - len(loads)
+        room = count_loadable(engines, self._clock.monotonic()) - len(loads)
         version = self._view.wanted[model].version
         batch: list[tuple[FleetUpstream, EngineState]] = []
         for upstream in outdated:
--- a/src/lifttrestle/internal/fleet/path/attempt.py
+++ b/src/lifttrestle/internal/fleet/path/attempt.py
@@ -26,7 +26,7 @@
 from lifttrestle.internal.fleet.path.dialect import AnswerFacts
 from lifttrestle.internal.fleet.path.dialect import RequestDialect
 from lifttrestle.internal.fleet.path.request_context import PROMISING
-from lifttrestle.internal.fleet.policy.limit_belief import NamedLimit
+from lifttrestle.internal.fleet.policy.limit_belief import ReportedLimit
 from lifttrestle.internal.fleet.state.upstream import FleetUpstream
 from lifttrestle.internal.fleet.state.upstream import SILENT_SECONDS
 from lifttrestle.internal.http.client_connection import ClientConnection
@@ -68,7 +68,7 @@
     request_id: str,
     patience: float | None,
     may_leave: Callable[[], bool],
-    note_limit: Callable[[NamedLimit], None],
+    note_limit: Callable[[ReportedLimit], None],
 ) -> UpstreamAnswer:
     """Send a request and return the answer once its head is proved.
 
--- a/src/lifttrestle/internal/fleet/path/candidates.py
+++ b/src/lifttrestle/internal/fleet/path/candidates.py
@@ -14,10 +14,10 @@
 
 from lifttrestle.internal.fleet.parts import FleetParts
 from lifttrestle.internal.fleet.path.dialect import RequestFacts
-from lifttrestle.internal.fleet.policy.admission import Admitted
+from lifttrestle.internal.fleet.policy.admission import AdmittedRequest
+from lifttrestle.internal.fleet.policy.admission import get_cache_scope
 from lifttrestle.internal.fleet.policy.admission import get_urgency
-from lifttrestle.internal.fleet.policy.admission import get_wall
-from lifttrestle.internal.fleet.policy.engine_costs import Surroundings
+from lifttrestle.internal.fleet.policy.engine_costs import PlacementContext
 from lifttrestle.internal.fleet.policy.limit_permits import rank_request
 from lifttrestle.internal.fleet.policy.placement import choose_engine
 from lifttrestle.internal.fleet.policy.placement import choose_plain
@@ -28,7 +28,7 @@
 FOR_EVER = float('inf')
 
 
-def _get_slots(admitted: Admitted, service: str) -> int:
+def _get_slots(admitted: AdmittedRequest, service: str) -> int:
     facts = admitted.catalogue.services.get(service)
     if facts is None or facts.engine is None:
         return 0
@@ -53,7 +53,7 @@
         self._tried[upstream.start] = until
 
     def choose(
-        self, admitted: Admitted, service: str, *, repeated: bool
+        self, admitted: AdmittedRequest, service: str, *, repeated: bool
     ) -> Placement | None:
         """Return the best upstream, or None if none may serve now.
 
@@ -70,7 +70,7 @@
         wanted = None
         if generation is not None:
             wanted = parts.view.wanted.get(generation.model)
-        around = Surroundings(
+        around = PlacementContext(
             now=parts.clock.monotonic(),
             data_centre=parts.settings.data_centre,
             wanted_version=wanted.version if wanted is not None else 0,
@@ -84,7 +84,7 @@
         return choose_engine(
             fit,
             generation,
-            get_wall(admitted),
+            get_cache_scope(admitted),
             parts.sources.shared,
             around,
             parts.source,
@@ -119,7 +119,7 @@
         return min(limits.get_wait(item) for item in left)
 
     def list_fit(
-        self, admitted: Admitted, service: str
+        self, admitted: AdmittedRequest, service: str
     ) -> list[FleetUpstream]:
         """Return the upstreams that may begin this request now."""
         parts = self._parts
@@ -144,7 +144,7 @@
             parts.settings.promises.weights_seconds,
         )
 
-    def has_others(self, admitted: Admitted, service: str) -> bool:
+    def has_others(self, admitted: AdmittedRequest, service: str) -> bool:
         """Return whether a sound upstream is left to go on."""
         now = self._parts.clock.monotonic()
         return any(
--- a/src/lifttrestle/internal/fleet/path/order_building.py
+++ b/src/lifttrestle/internal/fleet/path/order_building.py
@@ -15,8 +15,8 @@
 from lifttrestle.internal.fleet.path.dialect import CacheUse
 from lifttrestle.internal.fleet.path.dialect import UpstreamOrder
 from lifttrestle.internal.fleet.path.request_context import RequestContext
+from lifttrestle.internal.fleet.policy.admission import get_cache_scope
 from lifttrestle.internal.fleet.policy.admission import get_urgency
-from lifttrestle.internal.fleet.policy.admission import get_wall
 from lifttrestle.internal.fleet.state.shared_parts import build_salt
 from lifttrestle.internal.fleet.state.upstream import FleetUpstream
 
@@ -62,5 +62,5 @@
             # To ask for what can't be had costs an engine some hundred
             # milliseconds a request.
             address = '' if store.reach.unreached else store.address
-    salt = build_salt(get_wall(admitted), generation.model, weights)
+    salt = build_salt(get_cache_scope(admitted), generation.model, weights)
     return request.parts.sources.choose(salt, generation, address)
--- a/src/lifttrestle/internal/fleet/path/request_context.py
+++ b/src/lifttrestle/internal/fleet/path/request_context.py
@@ -23,8 +23,8 @@
 from lifttrestle.internal.fleet.path.story import build_usage
 from lifttrestle.internal.fleet.path.story import RequestStory
 from lifttrestle.internal.fleet.policy.admission import admit
-from lifttrestle.internal.fleet.policy.admission import Admitted
-from lifttrestle.internal.fleet.policy.stopping import may_end_in_time
+from lifttrestle.internal.fleet.policy.admission import AdmittedRequest
+from lifttrestle.internal.fleet.policy.stopping import can_finish_in_time
 from lifttrestle.internal.fleet.policy.stopping import STOPPING_RETRY_SECONDS
 from lifttrestle.internal.fleet.usage.charge import UsageCharge
 from lifttrestle.internal.refusal.answers import ANSWERS
@@ -59,7 +59,7 @@
 
     parts: FleetParts
     facts: RequestFacts
-    admitted: Admitted
+    admitted: AdmittedRequest
     story: RequestStory
     progress: RequestProgress
     started: float
@@ -85,7 +85,7 @@
         now = self.parts.clock.monotonic()
         return max(self.deadline - now, MIN_LEFT_SECONDS)
 
-    def admit_again(self) -> Admitted:
+    def admit_again(self) -> AdmittedRequest:
         """Return what it may use now, and by which service.
 
         A key may have been taken away since, the route may lead elsewhere,
@@ -197,7 +197,7 @@
             return
         limit = self.get_left()
         left = shutdown.get_serving_left()
-        if may_end_in_time(limit, left):
+        if can_finish_in_time(limit, left):
             return
         raise RequestRefused(
             ErrorKind.STOPPING,
--- a/src/lifttrestle/internal/fleet/path/request_digest.py
+++ b/src/lifttrestle/internal/fleet/path/request_digest.py
@@ -19,7 +19,7 @@
 
 import hashlib
 
-from lifttrestle.internal.fleet.policy.admission import Admitted
+from lifttrestle.internal.fleet.policy.admission import AdmittedRequest
 from lifttrestle.internal.http.head import RequestHead
 
 # Two of a million requests that are remembered at the same time have the same
@@ -30,7 +30,7 @@
 
 
 def build_request_digest(
-    admitted: Admitted, host: str, head: RequestHead, body: bytes
+    admitted: AdmittedRequest, host: str, head: RequestHead, body: bytes
 ) -> int:
     """Return a number that stands for a request, whoever of the fleet has it.
 
--- a/src/lifttrestle/internal/fleet/path/story.py
+++ b/src/lifttrestle/internal/fleet/path/story.py
@@ -24,7 +24,7 @@
 from lifttrestle.internal.fleet.limits.permits import Permit
 from lifttrestle.internal.fleet.path.dialect import RequestFacts
 from lifttrestle.internal.fleet.path.dialect import UpstreamOrder
-from lifttrestle.internal.fleet.policy.admission import Admitted
+from lifttrestle.internal.fleet.policy.admission import AdmittedRequest
 from lifttrestle.internal.fleet.policy.placement import Placement
 from lifttrestle.internal.fleet.state.upstream import FleetUpstream
 from lifttrestle.internal.fleet.usage.ledger import UsageFacts
@@ -77,7 +77,7 @@
 
 
 def build_admitted(
-    admitted: Admitted,
+    admitted: AdmittedRequest,
     facts: RequestFacts,
     view_age: float,
     left: float,
--- a/src/lifttrestle/internal/fleet/path/upstream_search.py
+++ b/src/lifttrestle/internal/fleet/path/upstream_search.py
@@ -19,8 +19,8 @@
 from lifttrestle.internal.fleet.path.request_context import RequestContext
 from lifttrestle.internal.fleet.path.story import build_permit
 from lifttrestle.internal.fleet.policy.placement import Placement
+from lifttrestle.internal.fleet.policy.shedding import decide_shedding
 from lifttrestle.internal.fleet.policy.shedding import find_hold_end
-from lifttrestle.internal.fleet.policy.shedding import judge_wait
 from lifttrestle.internal.fleet.state.upstream import FleetUpstream
 from lifttrestle.internal.refusal.kind import ErrorKind
 
@@ -112,7 +112,7 @@
         return
     expected = placement.expected_seconds
     target = request.admitted.route.target_seconds
-    shedding = judge_wait(expected, placement.queue_seconds, target)
+    shedding = decide_shedding(expected, placement.queue_seconds, target)
     if shedding is None:
         return
     raise RequestRefused(
--- a/src/lifttrestle/internal/fleet/policy/admission.py
+++ b/src/lifttrestle/internal/fleet/policy/admission.py
@@ -37,7 +37,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Admitted:
+class AdmittedRequest:
     """A request that may be served.
 
     :ivar workspace: None on a route without keys.
@@ -48,7 +48,7 @@
     workspace: Workspace | None
 
 
-def admit(parts: FleetParts, facts: RequestFacts) -> Admitted:
+def admit(parts: FleetParts, facts: RequestFacts) -> AdmittedRequest:
     """Return what a request may use, by the newest configuration.
 
     It is asked again after each wait: the answer may have changed.
@@ -71,7 +71,7 @@
             f'no route leads from host {facts.host!r} to {facts.path!r}',
             field='path',
         )
-    return Admitted(
+    return AdmittedRequest(
         catalogue, route, _find_workspace(parts, facts, catalogue, route)
     )
 
@@ -112,7 +112,7 @@
     )
 
 
-def get_wall(admitted: Admitted) -> str:
+def get_cache_scope(admitted: AdmittedRequest) -> str:
     """Return the name under which a request shares cached context."""
     workspace = admitted.workspace
     if workspace is not None and workspace.isolated:
@@ -120,7 +120,7 @@
     return SHARED_WALL
 
 
-def get_urgency(admitted: Admitted) -> int:
+def get_urgency(admitted: AdmittedRequest) -> int:
     """Return the rank among waiting requests; the workspace's goes first."""
     workspace = admitted.workspace
     priority = admitted.route.priority
--- a/src/lifttrestle/internal/fleet/policy/cache_sources.py
+++ b/src/lifttrestle/internal/fleet/policy/cache_sources.py
@@ -23,7 +23,7 @@
 from lifttrestle.internal.fleet.state.shared_parts import SharedParts
 
 # Parts of the store last for about its size over what is sent to it.
-KEPT_SECONDS = 30.0
+RETENTION_SECONDS = 30.0
 # Shorter prompts are computed sooner than they are fetched.
 MIN_SHARED_TOKENS = 150
 
@@ -53,7 +53,7 @@
         if not kept_address or tokens < MIN_SHARED_TOKENS:
             return CacheUse(salt, '', '')
         age = self.shared.get_age(salt, shared[-1], self._clock.monotonic())
-        target = kept_address if age > KEPT_SECONDS else ''
+        target = kept_address if age > RETENTION_SECONDS else ''
         return CacheUse(salt, kept_address, target)
 
     def note_served(self, use: CacheUse, generation: Generation) -> None:
--- a/src/lifttrestle/internal/fleet/policy/engine_costs.py
+++ b/src/lifttrestle/internal/fleet/policy/engine_costs.py
@@ -75,7 +75,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Surroundings:
+class PlacementContext:
     """What the choice depends on beside the request.
 
     :ivar now: monotonic time in seconds.
@@ -139,7 +139,7 @@
     upstream: FleetUpstream,
     rank: int,
     prompt: PromptMeasure,
-    around: Surroundings,
+    around: PlacementContext,
 ) -> Outlook:
     """Return what a generation would meet at an engine."""
     unknown = prompt.unknown_tokens[upstream.weights.get(prompt.model, 0)]
@@ -156,7 +156,7 @@
     return min(rank, HOMES) / HOMES
 
 
-def _expect_queue(upstream: FleetUpstream, around: Surroundings) -> float:
+def _expect_queue(upstream: FleetUpstream, around: PlacementContext) -> float:
     queue = count_queue(upstream) * around.read_seconds
     waited = upstream.get_oldest_wait(around.now, around.urgency)
     # The estimate is wrong where the oldest has waited longer already.
@@ -173,7 +173,7 @@
     rank: int,
     prompt: PromptMeasure,
     outlook: Outlook,
-    around: Surroundings,
+    around: PlacementContext,
 ) -> float:
     """Return what it costs to begin a generation at an engine, in seconds.
 
@@ -192,7 +192,7 @@
     return cost
 
 
-def weigh_way(upstream: FleetUpstream, around: Surroundings) -> float:
+def weigh_way(upstream: FleetUpstream, around: PlacementContext) -> float:
     """Return what it costs to reach an upstream."""
     cost = 0.0
     if upstream.entry.data_centre != around.data_centre:
--- a/src/lifttrestle/internal/fleet/policy/limit_belief.py
+++ b/src/lifttrestle/internal/fleet/policy/limit_belief.py
@@ -28,7 +28,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class NamedLimit:
+class ReportedLimit:
     """What one answer says of its upstream's limit.
 
     :ivar rate: requests a second that the upstream takes from all routers
@@ -42,7 +42,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class LimitSign:
+class LimitObservation:
     """What an answer said, and when it was made, monotonic seconds.
 
     :ivar begin: it was made at this time at the soonest.
@@ -68,16 +68,16 @@
     """What is believed of one start of an upstream.
 
     :ivar rate: in force, None without a limit.
-    :ivar named: the newest sign that named a limit; its end is minus infinity
+    :ivar latest: the newest sign that named a limit; its end is minus infinity
         before the first.
     :ivar ended_at: when an answer without a limit was heard that ended one.
     """
 
     rate: float | None = None
-    named: LimitSign = LimitSign(None, -math.inf, -math.inf)
+    latest: LimitObservation = LimitObservation(None, -math.inf, -math.inf)
     ended_at: float = -math.inf
 
-    def note(self, sign: LimitSign) -> LimitChange:
+    def update(self, sign: LimitObservation) -> LimitChange:
         """Take in a sign; return what it changes."""
         if sign.rate is None:
             return self._note_none(sign)
@@ -85,22 +85,22 @@
             # It may have been under way while the limit was ended.
             return LimitChange.NOTHING
         before = self.rate
-        newer = sign.begin >= self.named.end
+        newer = sign.begin >= self.latest.end
         if before is not None and not newer and sign.rate > before:
             return LimitChange.NOTHING
-        if before is not None and sign.end < self.named.begin:
+        if before is not None and sign.end < self.latest.begin:
             return LimitChange.NOTHING
         self.rate = sign.rate
-        if sign.end > self.named.end:
-            self.named = sign
+        if sign.end > self.latest.end:
+            self.latest = sign
         if before is None:
             return LimitChange.LEARNT
         if before != sign.rate:
             return LimitChange.CHANGED
         return LimitChange.NOTHING
 
-    def _note_none(self, sign: LimitSign) -> LimitChange:
-        if self.rate is None or sign.begin < self.named.end:
+    def _note_none(self, sign: LimitObservation) -> LimitChange:
+        if self.rate is None or sign.begin < self.latest.end:
             return LimitChange.NOTHING
         self.rate = None
         self.ended_at = sign.end
--- a/src/lifttrestle/internal/fleet/policy/limit_permits.py
+++ b/src/lifttrestle/internal/fleet/policy/limit_permits.py
@@ -47,7 +47,7 @@
 MAX_SPREAD_SECONDS = 2.0
 MIN_WAIT_SECONDS = 0.02
 # Ranks of requests below this are of those that have no other upstream.
-FIRST_CHOICE_RANK = 10
+FIRST_FLEXIBLE_RANK = 10
 # Second sends come after all others.
 FIRST_REPEAT_RANK = 20
 
@@ -62,7 +62,7 @@
     """
     if repeated:
         return FIRST_REPEAT_RANK + urgency
-    return urgency + (FIRST_CHOICE_RANK if has_others else 0)
+    return urgency + (FIRST_FLEXIBLE_RANK if has_others else 0)
 
 
 class PermitBucket:
@@ -112,7 +112,7 @@
             rate = min(rate, self._grown_from * grown)
         return max(rate, MIN_RATE)
 
-    def is_over(self, now: float) -> bool:
+    def has_recovered(self, now: float) -> bool:
         """Return whether a limit has ended and all is given back."""
         if self.rate is not None:
             return False
@@ -132,7 +132,7 @@
             self.use.note(1.0, now)
             return 0.0
         self._refused_at = now
-        if rank < FIRST_CHOICE_RANK:
+        if rank < FIRST_FLEXIBLE_RANK:
             self._kept[rank] = now
         return self._find_wait(now)
 
--- a/src/lifttrestle/internal/fleet/policy/load_pacing.py
+++ b/src/lifttrestle/internal/fleet/policy/load_pacing.py
@@ -33,7 +33,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Turn:
+class LeaseState:
     """What decides when a router may take the lease over, in seconds.
 
     :ivar needed_since: when weights were first seen to be missing.
@@ -75,7 +75,7 @@
     return outdated
 
 
-def count_room(engines: list[FleetUpstream], now: float) -> int:
+def count_loadable(engines: list[FleetUpstream], now: float) -> int:
     """Return how many engines may be without work at the same time.
 
     Those that seem not to be there are without work already.
@@ -85,7 +85,9 @@
     return max(room, 1)
 
 
-def find_turn(model: str, routers: list[str], key: str, turn: Turn) -> float:
+def find_takeover_time(
+    model: str, routers: list[str], key: str, turn: LeaseState
+) -> float:
     """Return when a router may take the lease of a model over.
 
     The routers' turns follow one another, so that they do not all write at
--- a/src/lifttrestle/internal/fleet/policy/load_paths.py
+++ b/src/lifttrestle/internal/fleet/policy/load_paths.py
@@ -25,16 +25,16 @@
 
 # Up to so many routers tell all others every 0.15 s, and each hears 250
 # reports a second at the most.
-DIRECT_ROUTERS = 37
+MAX_DIRECT_ROUTERS = 37
 RANKING = b'loads'
 # Of each data centre so many are told the other groups' sums. While the
 # first is gone its routers ask the second, which has to be found by others.
 LIKELY_AGGREGATORS = 2
 
 
-def sums_pay(routers: int) -> bool:
+def uses_aggregation(routers: int) -> bool:
     """Return whether sums are told in place of each router's report."""
-    return routers > DIRECT_ROUTERS
+    return routers > MAX_DIRECT_ROUTERS
 
 
 def choose_aggregator(neighbours: list[str], avoided: Collection[str]) -> str:
--- a/src/lifttrestle/internal/fleet/policy/placement.py
+++ b/src/lifttrestle/internal/fleet/policy/placement.py
@@ -21,7 +21,7 @@
 from lifttrestle.internal.fleet.policy.engine_costs import lacks_connection
 from lifttrestle.internal.fleet.policy.engine_costs import look_ahead
 from lifttrestle.internal.fleet.policy.engine_costs import measure_prompt
-from lifttrestle.internal.fleet.policy.engine_costs import Surroundings
+from lifttrestle.internal.fleet.policy.engine_costs import PlacementContext
 from lifttrestle.internal.fleet.policy.engine_costs import weigh_engine
 from lifttrestle.internal.fleet.policy.engine_costs import weigh_way
 from lifttrestle.internal.fleet.state.shared_parts import SharedParts
@@ -68,7 +68,7 @@
 
 
 def choose_plain(
-    fit: list[FleetUpstream], around: Surroundings, source: random.Random
+    fit: list[FleetUpstream], around: PlacementContext, source: random.Random
 ) -> Placement | None:
     """Return the upstream of a plain service that should answer first."""
     costs = {}
@@ -89,7 +89,7 @@
     generation: Generation,
     wall: str,
     parts: SharedParts,
-    around: Surroundings,
+    around: PlacementContext,
     source: random.Random,
 ) -> Placement | None:
     """Return the engine that should begin the generation first.
--- a/src/lifttrestle/internal/fleet/policy/shared_level.py
+++ b/src/lifttrestle/internal/fleet/policy/shared_level.py
@@ -205,7 +205,7 @@
                 pending += group.use.get(now) * scale * age
         return self.level - pending
 
-    def find_missing(self, units: float, left: float) -> float:
+    def find_shortfall(self, units: float, left: float) -> float:
         """Return the units by which a request is over the cap, or zero.
 
         :param left: as ``get_left`` has just told it.
--- a/src/lifttrestle/internal/fleet/policy/shedding.py
+++ b/src/lifttrestle/internal/fleet/policy/shedding.py
@@ -45,7 +45,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Shedding:
+class ShedDecision:
     """A request is refused.
 
     :ivar limit: seconds that it would have been let wait.
@@ -56,9 +56,9 @@
     retry_after: float
 
 
-def judge_wait(
+def decide_shedding(
     expected: float, queue: float, target: float
-) -> Shedding | None:
+) -> ShedDecision | None:
     """Return how a request is refused, or None if it is to be sent.
 
     :param expected: seconds until its first piece at the best engine.
@@ -72,7 +72,9 @@
     if alone > limit and queue <= LONG_PROMPT_QUEUE_TARGETS * target:
         return None
     excess = expected - limit
-    return Shedding(limit, min(excess + MIN_RETRY_SECONDS, MAX_RETRY_SECONDS))
+    return ShedDecision(
+        limit, min(excess + MIN_RETRY_SECONDS, MAX_RETRY_SECONDS)
+    )
 
 
 def find_hold_end(
--- a/src/lifttrestle/internal/fleet/policy/stopping.py
+++ b/src/lifttrestle/internal/fleet/policy/stopping.py
@@ -21,7 +21,7 @@
 STOPPING_RETRY_SECONDS = 0.01
 
 
-def may_end_in_time(limit: float, left: float) -> bool:
+def can_finish_in_time(limit: float, left: float) -> bool:
     """Return whether a request that is begun now ends before its router.
 
     Its time limit is all that bounds it. How long others of its route lasted
--- a/src/lifttrestle/internal/fleet/policy/tell_pacing.py
+++ b/src/lifttrestle/internal/fleet/policy/tell_pacing.py
@@ -21,14 +21,14 @@
 from lifttrestle.internal.clock.clock import Clock
 
 # Requests last for some hundred ms; older counts say little.
-TELL_SECONDS = 0.15
+REPORT_SECONDS = 0.15
 # Each router hears so many reports a second at the most, some 60 us of
 # processor time each: 1.5% of a core (docs/design/platform.md).
-HEARD_PER_SECOND = 250
+MAX_REPORT_RATE = 250
 # Questions for the sum of all loads that one router may get from all others,
 # 0.24 ms of processor time each (benchmarks/decisions.py). 33 routers that get
 # 68 streams a second ask as often.
-ASKED_PER_SECOND = 400
+MAX_QUERY_RATE = 400
 # Reports that may be sent one after the other, of what a second allows.
 BURST = 3.0
 # In a large fleet the regular reports take two fifths of what may be heard,
@@ -38,14 +38,14 @@
 MAX_REGULAR_SECONDS = 1.0
 
 
-class TellPacing:
+class ReportPacer:
     """A token bucket for one router's reports.
 
     :param heard_per_second: from all routers together, by any of them.
     """
 
     def __init__(
-        self, clock: Clock, heard_per_second: float = HEARD_PER_SECOND
+        self, clock: Clock, heard_per_second: float = MAX_REPORT_RATE
     ) -> None:
         self._clock = clock
         self._heard_per_second = heard_per_second
@@ -56,7 +56,7 @@
         """Return the time between two reports without a change."""
         period = routers / self._heard_per_second
         spread = min(period * REGULAR_PERIODS, MAX_REGULAR_SECONDS)
-        return max(TELL_SECONDS, period, spread)
+        return max(REPORT_SECONDS, period, spread)
 
     def take(self, routers: int) -> float:
         """Spend a report; return after how many seconds it may be sent."""
--- a/src/lifttrestle/internal/fleet/state/load_ledger.py
+++ b/src/lifttrestle/internal/fleet/state/load_ledger.py
@@ -16,7 +16,7 @@
 import dataclasses
 
 from lifttrestle.internal.clock.clock import Clock
-from lifttrestle.internal.fleet.policy.tell_pacing import TELL_SECONDS
+from lifttrestle.internal.fleet.policy.tell_pacing import REPORT_SECONDS
 from lifttrestle.internal.fleet.state.directory import UpstreamDirectory
 from lifttrestle.internal.fleet.state.load_messages import UpstreamLoad
 
@@ -61,7 +61,7 @@
             if now - held.at < self._get_fresh_seconds():
                 return
         self._told[teller] = Told(number, loads, now)
-        if now - self._summed_at >= TELL_SECONDS:
+        if now - self._summed_at >= REPORT_SECONDS:
             self.sum_up()
         else:
             self._replace(teller, loads)
--- a/src/lifttrestle/internal/fleet/state/peer_loads.py
+++ b/src/lifttrestle/internal/fleet/state/peer_loads.py
@@ -24,9 +24,9 @@
 import asyncio
 
 from lifttrestle.internal.clock.clock import Clock
-from lifttrestle.internal.fleet.policy.load_paths import sums_pay
-from lifttrestle.internal.fleet.policy.tell_pacing import ASKED_PER_SECOND
-from lifttrestle.internal.fleet.policy.tell_pacing import TellPacing
+from lifttrestle.internal.fleet.policy.load_paths import uses_aggregation
+from lifttrestle.internal.fleet.policy.tell_pacing import MAX_QUERY_RATE
+from lifttrestle.internal.fleet.policy.tell_pacing import ReportPacer
 from lifttrestle.internal.fleet.settings import Promises
 from lifttrestle.internal.fleet.state.aggregator_choice import AggregatorChoice
 from lifttrestle.internal.fleet.state.catalogue import Workspace
@@ -96,8 +96,8 @@
         self._number = 0
         self._told_something = False
         self._own_reports: dict[int, list[UpstreamLoad]] = {}
-        self._pacing = TellPacing(clock)
-        self._asking = TellPacing(clock, ASKED_PER_SECOND)
+        self._pacing = ReportPacer(clock)
+        self._asking = ReportPacer(clock, MAX_QUERY_RATE)
         self._asked_at = float('-inf')
         self._heard_at = float('-inf')
         self._summed_by = ''
@@ -181,14 +181,16 @@
 
     def _get_regular_seconds(self) -> float:
         """Return the time until the next report if no load changes a lot."""
-        if sums_pay(self._roster.live) and not self._told_something:
+        if uses_aggregation(self._roster.live) and not self._told_something:
             return IDLE_SECONDS if self._usage.in_use else IDLE_TELL_SECONDS
         return self.get_tell_seconds()
 
     def _count_tellers(self) -> int:
         """Return how many routers tell their loads to the same one."""
         live = self._roster.live
-        return self._choice.count_neighbours() if sums_pay(live) else live
+        return (
+            self._choice.count_neighbours() if uses_aggregation(live) else live
+        )
 
     def _get_fresh_seconds(self) -> float:
         return max(FRESH_SECONDS, FRESH_TELLS * self.get_tell_seconds())
@@ -241,7 +243,7 @@
 
     def is_current(self) -> bool:
         """Return whether a choice can go by what was told."""
-        if not sums_pay(self._roster.live):
+        if not uses_aggregation(self._roster.live):
             return True
         return self._clock.monotonic() - self._heard_at < CURRENT_SECONDS
 
@@ -291,7 +293,7 @@
         ]
         parts = self._parts.take_news()
         self._usage_roles.follow(self._choice.choose())
-        if sums_pay(self._roster.live):
+        if uses_aggregation(self._roster.live):
             self._tell_aggregator(loads, parts, asks=asks)
             return
         idle = not loads and not parts and not self._told_something
--- a/src/lifttrestle/internal/fleet/usage/ledger.py
+++ b/src/lifttrestle/internal/fleet/usage/ledger.py
@@ -226,7 +226,7 @@
             return None
         now = self._clock.monotonic()
         left = level.get_left(now)
-        missing = level.find_missing(units, left)
+        missing = level.find_shortfall(units, left)
         facts = UsageFacts(
             units=units,
             left=left,
--- a/src/lifttrestle/internal/fleet/usage/roles.py
+++ b/src/lifttrestle/internal/fleet/usage/roles.py
@@ -12,7 +12,7 @@
 
 """Whether this router adds up what all use, or takes over another's sums."""
 
-from lifttrestle.internal.fleet.policy.load_paths import sums_pay
+from lifttrestle.internal.fleet.policy.load_paths import uses_aggregation
 from lifttrestle.internal.fleet.state.aggregator_choice import AggregatorChoice
 from lifttrestle.internal.fleet.state.roster import Roster
 from lifttrestle.internal.fleet.usage.ledger import UsageLedger
@@ -37,7 +37,7 @@
             counts only in a large fleet.
         """
         live = self._roster.live
-        summed = sums_pay(live) and aggregator != self._roster.key
+        summed = uses_aggregation(live) and aggregator != self._roster.key
         # Until it knows the others it has a share, and no more.
         summed = summed or not self._roster.loaded
         seen = (self._roster.changes, live, summed)
@@ -50,7 +50,7 @@
             self._ledger.follow_groups(self._list_groups(live))
 
     def _list_groups(self, live: int) -> dict[str, int]:
-        if not sums_pay(live):
+        if not uses_aggregation(live):
             return dict.fromkeys(self._roster.list_others(), 1)
         groups = dict.fromkeys(self._choice.list_neighbours(), 1)
         groups.pop(self._roster.key, None)
--- a/src/lifttrestle/internal/platform/upstream_limit.py
+++ b/src/lifttrestle/internal/platform/upstream_limit.py
@@ -27,17 +27,17 @@
 import re
 
 from lifttrestle.errors import InputRefused
-from lifttrestle.internal.fleet.policy.limit_belief import NamedLimit
+from lifttrestle.internal.fleet.policy.limit_belief import ReportedLimit
 from lifttrestle.internal.http.answer import Header
 from lifttrestle.internal.intake.fault import InputFault
 from lifttrestle.internal.platform import names
 
 MAX_CHARACTERS = 40
 DECIMAL = re.compile(r'[0-9]+(\.[0-9]*)?([eE][+-]?[0-9]{1,3})?')
-NO_LIMIT = NamedLimit()
+NO_LIMIT = ReportedLimit()
 
 
-def read_limit(headers: tuple[Header, ...]) -> NamedLimit:
+def read_limit(headers: tuple[Header, ...]) -> ReportedLimit:
     """Return what an answer's headers say of its upstream's limit."""
     values = {value for key, value in headers if key == names.LIMIT}
     if not values:
@@ -46,8 +46,8 @@
     if len(text) <= MAX_CHARACTERS and DECIMAL.fullmatch(text):
         rate = float(text)
         if math.isfinite(rate):
-            return NamedLimit(rate)
-    return NamedLimit(
+            return ReportedLimit(rate)
+    return ReportedLimit(
         fault=InputRefused(
             InputFault.FIELD,
             f'the limit {text[:MAX_CHARACTERS]!r} is no rate and is passed'
--- a/tests/cover/test_crash_ledger.py
+++ b/tests/cover/test_crash_ledger.py
@@ -35,7 +35,7 @@
 from lifttrestle.internal.fleet.crashes.messages import CrashItem
 from lifttrestle.internal.fleet.path.dialect import RequestFacts
 from lifttrestle.internal.fleet.path.request_digest import build_request_digest
-from lifttrestle.internal.fleet.policy.admission import Admitted
+from lifttrestle.internal.fleet.policy.admission import AdmittedRequest
 from lifttrestle.internal.fleet.state.catalogue import Workspace
 from lifttrestle.internal.http.head import RequestHead
 
@@ -167,7 +167,7 @@
 
 class TestDigest(unittest.TestCase):
     def build(self, workspace='acme', target='/a?b=c', body=b'grid', **fields):
-        admitted = Admitted(
+        admitted = AdmittedRequest(
             None,  # type: ignore[arg-type]
             None,  # type: ignore[arg-type]
             Workspace(workspace, None, False) if workspace else None,
--- a/tests/cover/test_decisions.py
+++ b/tests/cover/test_decisions.py
@@ -14,13 +14,13 @@
 
 import unittest
 
-from lifttrestle.internal.fleet.policy.load_pacing import count_room
-from lifttrestle.internal.fleet.policy.load_pacing import find_turn
+from lifttrestle.internal.fleet.policy.load_pacing import count_loadable
+from lifttrestle.internal.fleet.policy.load_pacing import find_takeover_time
+from lifttrestle.internal.fleet.policy.load_pacing import LeaseState
 from lifttrestle.internal.fleet.policy.load_pacing import list_engines
 from lifttrestle.internal.fleet.policy.load_pacing import list_outdated
-from lifttrestle.internal.fleet.policy.load_pacing import Turn
+from lifttrestle.internal.fleet.policy.shedding import decide_shedding
 from lifttrestle.internal.fleet.policy.shedding import find_hold_end
-from lifttrestle.internal.fleet.policy.shedding import judge_wait
 from lifttrestle.internal.fleet.policy.shedding import MAX_RETRY_SECONDS
 from lifttrestle.internal.fleet.policy.shedding import MIN_RETRY_SECONDS
 from lifttrestle.internal.fleet.policy.weights_fit import select_engines
@@ -30,23 +30,23 @@
 
 class TestShedding(unittest.TestCase):
     def test_request_that_can_be_in_time_is_sent(self):
-        self.assertIsNone(judge_wait(0.45, 0.4, 0.6))
+        self.assertIsNone(decide_shedding(0.45, 0.4, 0.6))
 
     def test_request_that_would_be_late_is_refused_with_a_time(self):
-        shedding = judge_wait(0.78, 0.5, 0.6)
+        shedding = decide_shedding(0.78, 0.5, 0.6)
         self.assertAlmostEqual(shedding.limit, 0.48)
         self.assertAlmostEqual(shedding.retry_after, 0.3 + MIN_RETRY_SECONDS)
 
     def test_time_to_come_back_is_bounded(self):
-        shedding = judge_wait(60.0, 59.0, 0.6)
+        shedding = decide_shedding(60.0, 59.0, 0.6)
         self.assertEqual(shedding.retry_after, MAX_RETRY_SECONDS)
 
     def test_regression_longest_prompts_are_served_where_nothing_waits(self):
         # One of 40,000 tokens takes 1.2 s to read: it was refused by idle
         # engines, however often its caller came back.
-        self.assertIsNone(judge_wait(1.23, 0.0, 0.6))
-        self.assertIsNone(judge_wait(1.38, 0.15, 0.6))
-        self.assertIsNotNone(judge_wait(1.43, 0.2, 0.6))
+        self.assertIsNone(decide_shedding(1.23, 0.0, 0.6))
+        self.assertIsNone(decide_shedding(1.38, 0.15, 0.6))
+        self.assertIsNotNone(decide_shedding(1.43, 0.2, 0.6))
 
 
 class TestHolding(unittest.TestCase):
@@ -70,12 +70,12 @@
         self.engines = list_engines(self.directory, 'm')
 
     def test_two_of_five_may_load_less_those_that_are_lost(self):
-        self.assertEqual(count_room(self.engines, 5.0), 2)
+        self.assertEqual(count_loadable(self.engines, 5.0), 2)
         self.engines[0].reach.note_unreached()
-        self.assertEqual(count_room(self.engines, 5.0), 1)
+        self.assertEqual(count_loadable(self.engines, 5.0), 1)
         self.engines[1].reach.note_unreached()
         # One always may, or nothing newer would ever be loaded.
-        self.assertEqual(count_room(self.engines, 5.0), 1)
+        self.assertEqual(count_loadable(self.engines, 5.0), 1)
 
     def test_oldest_then_idle_engines_are_first(self):
         busy, newer, idle = self.engines[:3]
@@ -94,14 +94,18 @@
 
     def test_first_turn_needs_no_rest_and_turns_differ(self):
         routers = ['router/a', 'router/b', 'router/c']
-        first = Turn(10.0, float('-inf'), None, 3.0)
-        turns = sorted(find_turn('m', routers, key, first) for key in routers)
+        first = LeaseState(10.0, float('-inf'), None, 3.0)
+        turns = sorted(
+            find_takeover_time('m', routers, key, first) for key in routers
+        )
         self.assertEqual(turns, [10.0, 10.25, 10.5])
 
     def test_taker_waits_out_the_lease(self):
         routers = ['router/a', 'router/b']
-        turn = Turn(10.0, 20.0, 'router/a', 3.0)
-        self.assertGreater(find_turn('m', routers, 'router/b', turn), 23.0)
+        turn = LeaseState(10.0, 20.0, 'router/a', 3.0)
+        self.assertGreater(
+            find_takeover_time('m', routers, 'router/b', turn), 23.0
+        )
 
 
 class TestWeightsFit(DirectoryCase):
--- a/tests/cover/test_fleet_placement.py
+++ b/tests/cover/test_fleet_placement.py
@@ -20,8 +20,8 @@
 from lifttrestle.internal.fleet.path.dialect import Generation
 from lifttrestle.internal.fleet.path.dialect import PromptPart
 from lifttrestle.internal.fleet.policy.cache_sources import CacheSources
-from lifttrestle.internal.fleet.policy.cache_sources import KEPT_SECONDS
-from lifttrestle.internal.fleet.policy.engine_costs import Surroundings
+from lifttrestle.internal.fleet.policy.cache_sources import RETENTION_SECONDS
+from lifttrestle.internal.fleet.policy.engine_costs import PlacementContext
 from lifttrestle.internal.fleet.policy.placement import choose_engine
 from lifttrestle.internal.fleet.policy.placement import choose_plain
 from lifttrestle.internal.fleet.state.engine_pace import EnginePace
@@ -49,7 +49,7 @@
             GENERATION,
             'shared',
             self.parts,
-            Surroundings(5.0, 'a', wanted, slots=slots),
+            PlacementContext(5.0, 'a', wanted, slots=slots),
             random.Random(1),
         )
 
@@ -134,7 +134,7 @@
             Generation('m', tokens, 5, parts),
             'shared',
             SharedParts(),
-            Surroundings(5.0, 'a', 1),
+            PlacementContext(5.0, 'a', 1),
             random.Random(1),
         ).upstream
 
@@ -161,7 +161,7 @@
         for _ in range(9):
             placement = choose_plain(
                 self.directory.list_fit('s'),
-                Surroundings(5.0, 'a', 0),
+                PlacementContext(5.0, 'a', 0),
                 random.Random(1),
             )
             self.assertIs(placement.upstream, self.kept)
@@ -195,9 +195,9 @@
         self.assertAlmostEqual(pace.read_seconds, 30e-6)
 
     def test_fetching_costs_at_most_what_computing_does(self):
-        slow = Surroundings(5.0, 'a', 1, fetch_seconds=1.0)
+        slow = PlacementContext(5.0, 'a', 1, fetch_seconds=1.0)
         self.assertEqual(slow.fetch_share, 1.0)
-        fast = Surroundings(
+        fast = PlacementContext(
             5.0, 'a', 1, read_seconds=30e-6, fetch_seconds=6e-6
         )
         self.assertAlmostEqual(fast.fetch_share, 0.2)
@@ -210,7 +210,7 @@
         first = sources.choose('s', GENERATION, 'store:1')
         sources.note_served(first, GENERATION)
         second = sources.choose('s', GENERATION, 'store:1')
-        clock.advance(KEPT_SECONDS + 1)
+        clock.advance(RETENTION_SECONDS + 1)
         third = sources.choose('s', GENERATION, 'store:1')
         self.assertEqual(
             [use.target for use in (first, second, third)],
--- a/tests/cover/test_limit_belief.py
+++ b/tests/cover/test_limit_belief.py
@@ -16,11 +16,11 @@
 
 from lifttrestle.internal.fleet.policy.limit_belief import LimitBelief
 from lifttrestle.internal.fleet.policy.limit_belief import LimitChange
-from lifttrestle.internal.fleet.policy.limit_belief import LimitSign
+from lifttrestle.internal.fleet.policy.limit_belief import LimitObservation
 
 
 def note(belief, rate, begin, end):
-    return belief.note(LimitSign(rate, begin, end))
+    return belief.update(LimitObservation(rate, begin, end))
 
 
 class TestBelief(unittest.TestCase):
--- a/tests/cover/test_limit_memory.py
+++ b/tests/cover/test_limit_memory.py
@@ -20,7 +20,7 @@
 from lifttrestle.internal.fleet.limits.allocators import PermitAllocators
 from lifttrestle.internal.fleet.limits.messages import LimitItem
 from lifttrestle.internal.fleet.limits.messages import LimitNews
-from lifttrestle.internal.fleet.policy.limit_belief import NamedLimit
+from lifttrestle.internal.fleet.policy.limit_belief import ReportedLimit
 from lifttrestle.internal.fleet.state.load_messages import read_message
 from lifttrestle.internal.fleet.state.rows import VersionedRow
 from tests.support.entries import make_entry
@@ -178,7 +178,9 @@
         told = []
         limits._refusals.note = lambda *fields: told.append(fields)
         for _ in range(3):
-            limits.note_answer(upstream, NamedLimit(fault=ValueError('x')), 0)
+            limits.note_answer(
+                upstream, ReportedLimit(fault=ValueError('x')), 0
+            )
         self.assertEqual(len(told), 1)
         self.assertTrue(limits.is_limited(upstream))
 
--- a/tests/cover/test_limit_permits.py
+++ b/tests/cover/test_limit_permits.py
@@ -107,8 +107,8 @@
         self.assertLessEqual(seconds[0], 4)
         for before, after in zip(seconds, seconds[1:], strict=False):
             self.assertLessEqual(after, 2.5 * before + 2)
-        self.assertFalse(bucket.is_over(14.0))
-        self.assertTrue(bucket.is_over(18.0))
+        self.assertFalse(bucket.has_recovered(14.0))
+        self.assertTrue(bucket.has_recovered(18.0))
 
     def test_limit_that_rises_is_used_in_steps(self):
         bucket = PermitBucket(1.0, 1.0, 0.0)
@@ -127,5 +127,5 @@
     def test_nothing_is_left_to_give_back_where_nobody_is_refused(self):
         bucket = PermitBucket(5.0, 1.0, 0.0)
         bucket.set_rate(None, 10.0)
-        self.assertFalse(bucket.is_over(13.9))
-        self.assertTrue(bucket.is_over(14.0))
+        self.assertFalse(bucket.has_recovered(13.9))
+        self.assertTrue(bucket.has_recovered(14.0))
--- a/tests/cover/test_load_sums.py
+++ b/tests/cover/test_load_sums.py
@@ -22,10 +22,10 @@
 
 from lifttrestle.internal.clock.manual import ManualClock
 from lifttrestle.internal.fleet.policy.load_paths import choose_aggregator
-from lifttrestle.internal.fleet.policy.load_paths import DIRECT_ROUTERS
-from lifttrestle.internal.fleet.policy.tell_pacing import ASKED_PER_SECOND
+from lifttrestle.internal.fleet.policy.load_paths import MAX_DIRECT_ROUTERS
 from lifttrestle.internal.fleet.policy.tell_pacing import BURST
-from lifttrestle.internal.fleet.policy.tell_pacing import HEARD_PER_SECOND
+from lifttrestle.internal.fleet.policy.tell_pacing import MAX_QUERY_RATE
+from lifttrestle.internal.fleet.policy.tell_pacing import MAX_REPORT_RATE
 from lifttrestle.internal.fleet.policy.usage_caps import UsageCap
 from lifttrestle.internal.fleet.policy.usage_caps import UsageUnit
 from lifttrestle.internal.fleet.settings import Promises
@@ -300,7 +300,7 @@
         fleet.turn()
         tell_seconds = fleet.routers['r0'].loads.get_tell_seconds()
         neighbours = 195 / len(DATA_CENTRES)
-        self.assertLessEqual(neighbours / tell_seconds, HEARD_PER_SECOND)
+        self.assertLessEqual(neighbours / tell_seconds, MAX_REPORT_RATE)
         usual = sorted(fleet.heard.values())[len(fleet.heard) // 2]
         self.assertLessEqual(usual, 2)
 
@@ -388,7 +388,7 @@
             self.loads.ask()
         neighbours = self.loads._count_tellers()
         seconds = 500 * PAST_SECONDS
-        allowed = seconds * ASKED_PER_SECOND / neighbours + BURST
+        allowed = seconds * MAX_QUERY_RATE / neighbours + BURST
         self.assertLessEqual(sent.call_count, allowed)
         self.assertGreater(sent.call_count, 0.9 * allowed)
 
@@ -420,7 +420,7 @@
 
 class TestSmallFleet(unittest.TestCase):
     def test_all_tell_all_where_that_is_little(self):
-        fleet = Fleet(DIRECT_ROUTERS)
+        fleet = Fleet(MAX_DIRECT_ROUTERS)
         upstream = fleet.routers['r0'].directory.get('e1')
         upstream.in_flight = 2
         fleet.routers['r0'].loads._tell()
--- a/tests/cover/test_peer_loads.py
+++ b/tests/cover/test_peer_loads.py
@@ -22,8 +22,8 @@
 from lifttrestle.internal.clock.manual import ManualClock
 from lifttrestle.internal.fleet.path.dialect import PromptPart
 from lifttrestle.internal.fleet.policy.tell_pacing import BURST
-from lifttrestle.internal.fleet.policy.tell_pacing import HEARD_PER_SECOND
-from lifttrestle.internal.fleet.policy.tell_pacing import TellPacing
+from lifttrestle.internal.fleet.policy.tell_pacing import MAX_REPORT_RATE
+from lifttrestle.internal.fleet.policy.tell_pacing import ReportPacer
 from lifttrestle.internal.fleet.state.directory import UpstreamDirectory
 from lifttrestle.internal.fleet.state.load_messages import LoadReport
 from lifttrestle.internal.fleet.state.load_messages import UpstreamLoad
@@ -125,12 +125,12 @@
             for number in range(count):
                 self.router.meet(f'r{number}', '10.0.0.1:7400')
             told = 1 / self.router.loads.get_tell_seconds()
-            self.assertLessEqual(count * told, HEARD_PER_SECOND + 1e-6)
+            self.assertLessEqual(count * told, MAX_REPORT_RATE + 1e-6)
         self.assertLess(1 / told, FRESH_SECONDS * FRESH_TELLS)
 
     def test_report_of_a_large_fleet_counts_until_the_third_next(self):
         self.router.roster.loaded = True
-        for number in range(2 * HEARD_PER_SECOND):
+        for number in range(2 * MAX_REPORT_RATE):
             self.router.meet(f'r{number}', '10.0.0.1:7400')
         self.assertEqual(self.router.loads.get_tell_seconds(), 2.0)
         self.router.loads.note(make_report('a', 1, 2))
@@ -214,7 +214,7 @@
 class TestTellPacing(unittest.TestCase):
     def setUp(self):
         self.clock = ManualClock(START)
-        self.pacing = TellPacing(self.clock)
+        self.pacing = ReportPacer(self.clock)
 
     def _send(self, routers, seconds, every):
         """Return how many reports go out when changes come ``every``."""
@@ -234,9 +234,9 @@
         for routers in (8, 82, 350):
             with self.subTest(routers=routers):
                 sent = self._send(routers, 60.0, 0.001)
-                allowed = 60.0 * HEARD_PER_SECOND / routers + BURST + 1
+                allowed = 60.0 * MAX_REPORT_RATE / routers + BURST + 1
                 self.assertLessEqual(sent, allowed)
 
     def test_regular_reports_leave_room_for_changes(self):
         regular = self.pacing.get_regular_seconds(82)
-        self.assertLess(82 / regular, 0.5 * HEARD_PER_SECOND)
+        self.assertLess(82 / regular, 0.5 * MAX_REPORT_RATE)
--- a/tests/cover/test_stopping.py
+++ b/tests/cover/test_stopping.py
@@ -16,7 +16,7 @@
 import unittest
 
 from lifttrestle.internal.clock.manual import ManualClock
-from lifttrestle.internal.fleet.policy.stopping import may_end_in_time
+from lifttrestle.internal.fleet.policy.stopping import can_finish_in_time
 from lifttrestle.internal.fleet.state.shutdown import Shutdown
 
 START = datetime.datetime(2026, 12, 2, tzinfo=datetime.timezone.utc)
@@ -25,8 +25,8 @@
 
 class TestDecision(unittest.TestCase):
     def test_time_limit_decides(self) -> None:
-        self.assertTrue(may_end_in_time(3.0, 3.0))
-        self.assertFalse(may_end_in_time(3.1, 3.0))
+        self.assertTrue(can_finish_in_time(3.0, 3.0))
+        self.assertFalse(can_finish_in_time(3.1, 3.0))
 
 
 class TestDeadline(unittest.IsolatedAsyncioTestCase):
--- a/tests/cover/test_upstream_life_model.py
+++ b/tests/cover/test_upstream_life_model.py
@@ -30,7 +30,7 @@
 import msgspec
 
 from lifttrestle.internal.clock.manual import ManualClock
-from lifttrestle.internal.fleet.policy.engine_costs import Surroundings
+from lifttrestle.internal.fleet.policy.engine_costs import PlacementContext
 from lifttrestle.internal.fleet.policy.placement import choose_plain
 from lifttrestle.internal.fleet.state.directory import RETURN_SECONDS
 from lifttrestle.internal.fleet.state.directory import UpstreamDirectory
@@ -156,7 +156,7 @@
     def sound_ones_go_before_those_that_fail(self):
         fit = self.directory.list_fit('s')
         sound = [item for item in fit if not self.failures[item.instance]]
-        around = Surroundings(self.clock.monotonic(), 'a', 0)
+        around = PlacementContext(self.clock.monotonic(), 'a', 0)
         placement = choose_plain(fit, around, NoChance())
         if placement is not None and sound:
             name = placement.upstream.instance
--- a/tests/cover/test_usage_caps.py
+++ b/tests/cover/test_usage_caps.py
@@ -216,7 +216,7 @@
     def test_refused_callers_come_back_one_after_the_other(self):
         level = self.make({'b': 1})
         level.take(150.0, 0.0)
-        missing = level.find_missing(10.0, level.get_left(0.0))
+        missing = level.find_shortfall(10.0, level.get_left(0.0))
         times = [
             level.find_retry_seconds(10.0, missing, 0.0) for _ in range(8)
         ]
--- a/tests/nocover/test_limits_command.py
+++ b/tests/nocover/test_limits_command.py
@@ -23,7 +23,7 @@
 from lifttrestle.internal.clock.manual import ManualClock
 from lifttrestle.internal.fleet.limits.held_limit import HeldLimit
 from lifttrestle.internal.fleet.path.doors import MetricsDoor
-from lifttrestle.internal.fleet.policy.limit_belief import LimitSign
+from lifttrestle.internal.fleet.policy.limit_belief import LimitObservation
 from lifttrestle.internal.fleet.policy.limit_permits import PermitBucket
 from lifttrestle.internal.http.address import Address
 from lifttrestle.internal.http.limits import HttpLimits
@@ -38,11 +38,11 @@
         clock = ManualClock(START)
         clock.advance(20.0)
         given = HeldLimit('p1@17', 1, 'a')
-        given.belief.note(LimitSign(1.2, 10.0, 17.5))
+        given.belief.update(LimitObservation(1.2, 10.0, 17.5))
         given.bucket = PermitBucket(1.2, 1.0, 0.0)
         given.bucket.take(0, 5.0)
         other = HeldLimit('p2@17', 2, 'b')
-        other.belief.note(LimitSign(0.4, 10.0, 19.0))
+        other.belief.update(LimitObservation(0.4, 10.0, 19.0))
         ended = HeldLimit('p3@17', 3, 'b', recovering=True)
         ended.belief.ended_at = 18.0
         self.limits = [ended, other, given]
--- a/tests/support/played_caps.py
+++ b/tests/support/played_caps.py
@@ -43,7 +43,7 @@
 # Each router tells all others, as in small fleets.
 DIRECT_SECONDS = 0.25
 SUM_SECONDS = 0.1
-DIRECT_ROUTERS = 37
+MAX_DIRECT_ROUTERS = 37
 IDLE_STEPS = 5
 # Prompts of two kinds: a few thousand tokens, and some hundred.
 LARGE_TOKENS = 9200.0
@@ -336,7 +336,7 @@
     def __init__(self, play: CapPlay) -> None:
         super().__init__(play)
         self.workspace = Workspace('acme', None, False, CAP)
-        self._summed = len(play.routers) > DIRECT_ROUTERS
+        self._summed = len(play.routers) > MAX_DIRECT_ROUTERS
         self.datagrams = 0
         self.ledgers: dict[str, UsageLedger] = {}
         self._telling: dict[str, UsageTelling] = {}
--- a/tests/support/played_limits.py
+++ b/tests/support/played_limits.py
@@ -33,7 +33,7 @@
 from lifttrestle.internal.clock.beat import Beat
 from lifttrestle.internal.clock.manual import ManualClock
 from lifttrestle.internal.fleet.limits.memory import UpstreamLimits
-from lifttrestle.internal.fleet.policy.limit_belief import NamedLimit
+from lifttrestle.internal.fleet.policy.limit_belief import ReportedLimit
 from lifttrestle.internal.fleet.policy.limit_permits import rank_request
 from lifttrestle.internal.fleet.state.directory import UpstreamDirectory
 from lifttrestle.internal.fleet.state.load_messages import read_message
@@ -283,7 +283,7 @@
     def note_answer(self, router, upstream, rate, sent_at):
         """Take in what an answer names."""
         self.limits[router].note_answer(
-            self.get_upstream(router, upstream), NamedLimit(rate), sent_at
+            self.get_upstream(router, upstream), ReportedLimit(rate), sent_at
         )
 
     def is_limited(self, router, upstream):
--- a/tests/support/played_load.py
+++ b/tests/support/played_load.py
@@ -33,11 +33,11 @@
 from lifttrestle.internal.clock.manual import ManualClock
 from lifttrestle.internal.fleet.path.dialect import Generation
 from lifttrestle.internal.fleet.path.dialect import PromptPart
-from lifttrestle.internal.fleet.policy.engine_costs import Surroundings
+from lifttrestle.internal.fleet.policy.engine_costs import PlacementContext
 from lifttrestle.internal.fleet.policy.placement import choose_engine
 from lifttrestle.internal.fleet.policy.placement import Placement
-from lifttrestle.internal.fleet.policy.shedding import judge_wait
-from lifttrestle.internal.fleet.policy.tell_pacing import TELL_SECONDS
+from lifttrestle.internal.fleet.policy.shedding import decide_shedding
+from lifttrestle.internal.fleet.policy.tell_pacing import REPORT_SECONDS
 from lifttrestle.internal.fleet.state.directory import UpstreamDirectory
 from lifttrestle.internal.fleet.state.engine_pace import EnginePace
 from lifttrestle.internal.fleet.state.engine_pace import FIRST_STEP_SECONDS
@@ -54,7 +54,7 @@
 
 START = datetime.datetime(2026, 1, 1, tzinfo=datetime.timezone.utc)
 DATA_CENTRES = 6
-SUMS_PAY = 'lifttrestle.internal.fleet.state.peer_loads.sums_pay'
+SUMS_PAY = 'lifttrestle.internal.fleet.state.peer_loads.uses_aggregation'
 # Between two routers, one way.
 DATAGRAM_SECONDS = 0.002
 # From a refusal to the next try, beside the time that the caller was told.
@@ -187,7 +187,7 @@
             long_one = self._source.random() < load.long_share
             self._at(at, lambda at=at, long=long_one: self._arrive(at, long))
         for router in self._routers:
-            at = self._source.uniform(0, TELL_SECONDS)
+            at = self._source.uniform(0, REPORT_SECONDS)
             self._at(at, lambda router=router: self._tell_regularly(router))
             at = self._source.uniform(0, SUM_SECONDS)
             self._at(at, lambda router=router: self._tell_sums(router))
@@ -284,13 +284,15 @@
             Generation('m', tokens, 50, (own,)),
             'shared',
             router.parts,
-            Surroundings(now, 'a', 1, read_seconds=router.pace.read_seconds),
+            PlacementContext(
+                now, 'a', 1, read_seconds=router.pace.read_seconds
+            ),
             self._source,
         )
         assert placement is not None, 'no engine is ever lost here'
         shedding = None
         if load.sheds:
-            shedding = judge_wait(
+            shedding = decide_shedding(
                 placement.expected_seconds,
                 placement.queue_seconds,
                 load.target_seconds,
