--- a/src/lifttrestle/internal/fleet/policy/admission.py
+++ b/src/lifttrestle/internal/fleet/policy/admission.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Decides whether a request may be served, by what is in force now."""
+"""Admission of requests by the current configuration and its age."""
 
 import dataclasses
 
@@ -22,23 +22,25 @@
 from lifttrestle.internal.fleet.state.catalogue import Workspace
 from lifttrestle.internal.refusal.kind import ErrorKind
 
-# Parts of the time within which a key that was taken away may still work.
-# Up to the first a view is good enough to say that a key or a route does not
-# exist, and to ask for new connections: other routers may know better. Up to
-# the second it is good enough to serve the keys that it holds. Reads of the
-# view are sent up to 1.5 s apart, so the second leaves some 3 s of outage.
+# Maximum age of the configuration view, as fractions of the time within which
+# a revoked key may still be accepted. Up to the first, a router may reject an
+# unknown key or route and attract new connections: beyond it, other routers
+# may hold a newer view. Up to the second, it may serve the keys in its view.
+# The view is read at intervals of up to 1.5 s, so the second tolerates an
+# outage of about 3 s.
 FRESH_SHARE = 0.6
 SERVING_SHARE = 0.92
-# The view may be proved current again any moment; another router may do.
+# The view may be confirmed as current at any moment, and another router may
+# already hold a current one.
 STALE_RETRY_SECONDS = 0.3
-SHARED_WALL = 'shared'
-# The largest urgency by which upstreams order what waits.
+SHARED_CACHE_SCOPE = 'shared'
+# The largest urgency value that upstreams use to order waiting requests.
 MAX_URGENCY = 9
 
 
 @dataclasses.dataclass(frozen=True)
 class AdmittedRequest:
-    """A request that may be served.
+    """The configuration that applies to an admitted request.
 
     :ivar workspace: None on a route without keys.
     """
@@ -49,12 +51,13 @@
 
 
 def admit(parts: FleetParts, facts: RequestFacts) -> AdmittedRequest:
-    """Return what a request may use, by the newest configuration.
+    """Return the route and workspace of a request.
 
-    It is asked again after each wait: the answer may have changed.
+    Must be called again after each wait, as the configuration may have
+    changed.
 
-    :raises RequestRefused: if it may not be served, or if that can't be
-        known.
+    :raises RequestRefused: if the request may not be served, or if the
+        configuration is missing or too old to decide.
     """
     catalogue = parts.view.catalogue
     if catalogue is None:
@@ -77,7 +80,10 @@
 
 
 def is_fresh(parts: FleetParts, share: float = FRESH_SHARE) -> bool:
-    """Return whether the view is proved current enough to rely on."""
+    """Return whether the view was confirmed recently enough.
+
+    :param share: maximum age as a fraction of the key revocation time.
+    """
     limit = parts.settings.promises.revoke_seconds * share
     return parts.operator_watch.get_age() < limit
 
@@ -113,15 +119,21 @@
 
 
 def get_cache_scope(admitted: AdmittedRequest) -> str:
-    """Return the name under which a request shares cached context."""
+    """Return the scope within which a request shares cached prefixes.
+
+    Isolated workspaces have a scope of their own.
+    """
     workspace = admitted.workspace
     if workspace is not None and workspace.isolated:
         return f'only-{workspace.name}'
-    return SHARED_WALL
+    return SHARED_CACHE_SCOPE
 
 
 def get_urgency(admitted: AdmittedRequest) -> int:
-    """Return the rank among waiting requests; the workspace's goes first."""
+    """Return the urgency of a request, from 0 to ``MAX_URGENCY``.
+
+    The priority of the workspace takes precedence over that of the route.
+    """
     workspace = admitted.workspace
     priority = admitted.route.priority
     if workspace is not None and workspace.priority is not None:
--- a/src/lifttrestle/internal/fleet/policy/cache_sources.py
+++ b/src/lifttrestle/internal/fleet/policy/cache_sources.py
@@ -10,11 +10,11 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""What is read from and sent to the store of KV cache.
+"""Selects what engines read from and write to the KV cache store.
 
-What is sent to the store pushes out older parts. With a shared part goes the
-one that is the request's own and of no use to others, so a shared part is sent
-again only after it may have been pushed out.
+Writes to the store evict older prefixes. A write of a shared prefix includes
+the suffix that is specific to the request and useless to others, so a shared
+prefix is written again only after it may have been evicted.
 """
 
 from lifttrestle.internal.clock.clock import Clock
@@ -22,16 +22,16 @@
 from lifttrestle.internal.fleet.path.dialect import Generation
 from lifttrestle.internal.fleet.state.shared_parts import SharedParts
 
-# Parts of the store last for about its size over what is sent to it.
+# Time to eviction: about the size of the store divided by its write rate.
 RETENTION_SECONDS = 30.0
-# Shorter prompts are computed sooner than they are fetched.
+# Shorter prefixes are faster to compute than to fetch.
 MIN_SHARED_TOKENS = 150
 
 
 class CacheSources:
-    """Decides where engines read cached parts from and send them to.
+    """Decides where engines read cached prefixes from and write them to.
 
-    :ivar shared: the parts that were sent to the store.
+    :ivar shared: the prefixes that were written to the store.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -39,25 +39,27 @@
         self.shared = SharedParts()
 
     def choose(
-        self, salt: str, generation: Generation, kept_address: str
+        self, salt: str, generation: Generation, store_address: str
     ) -> CacheUse:
-        """Return whether an engine is to read from and send to the store.
+        """Return whether an engine reads from and writes to the store.
 
-        Reading from the engine that served a part last was tried too: it has
-        often dropped the part, and more was computed again.
+        Engines do not read from the engine that served a prefix last: it has
+        often evicted the prefix, and more tokens had to be recomputed.
 
-        :param kept_address: of the store, or an empty string.
+        :param salt: cache salt of the request.
+        :param store_address: of the store, or an empty string if there is
+            none.
         """
         shared = generation.shared
         tokens = sum(part.tokens for part in shared)
-        if not kept_address or tokens < MIN_SHARED_TOKENS:
+        if not store_address or tokens < MIN_SHARED_TOKENS:
             return CacheUse(salt, '', '')
         age = self.shared.get_age(salt, shared[-1], self._clock.monotonic())
-        target = kept_address if age > RETENTION_SECONDS else ''
-        return CacheUse(salt, kept_address, target)
+        target = store_address if age > RETENTION_SECONDS else ''
+        return CacheUse(salt, store_address, target)
 
     def note_served(self, use: CacheUse, generation: Generation) -> None:
-        """Remember what an engine that began to answer sends to the store."""
+        """Record the store write of an engine that began to answer."""
         if use.target:
             self.shared.note_read(
                 use.salt, generation.shared, self._clock.monotonic()
--- a/src/lifttrestle/internal/fleet/policy/engine_costs.py
+++ b/src/lifttrestle/internal/fleet/policy/engine_costs.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""What a request would meet at an upstream, and what that costs in seconds."""
+"""Estimates of queueing and prefill at engines, and their costs in seconds."""
 
 import dataclasses
 
@@ -21,51 +21,53 @@
 from lifttrestle.internal.fleet.state.shared_parts import SharedParts
 from lifttrestle.internal.fleet.state.upstream import FleetUpstream
 
-# Engines beside the first home that keep a shared part too.
-HOMES = 2
-# A running request slows the others on its engine by about this much.
-RUNNING_SECONDS = 0.012
-# Of a part that another engine has read, what fetching it costs of the time
-# to compute it, where the configuration tells no pace of links.
-USUAL_FETCH_SHARE = 0.35
-# What waits for a slot waits for about this long for each request before it:
-# runs take 0.1 to 1 s, and an engine with few slots ends some ten a second.
-SLOT_SECONDS = 0.15
-# A request sent to another data centre: a few ms, and its bytes are priced.
+# Engines besides the first home that usually cache a shared prefix too.
+EXTRA_HOMES = 2
+# Approximate slowdown that a running request causes to the others on its
+# engine.
+RUNNING_REQUEST_SECONDS = 0.012
+# Time to fetch a prefix that another engine has computed, as a fraction of
+# the time to compute it, if the configuration has no link speed.
+DEFAULT_FETCH_SHARE = 0.35
+# Expected wait for a slot, per queued request: requests run for 0.1 to 1 s,
+# and an engine with few slots completes about ten a second.
+SLOT_WAIT_SECONDS = 0.15
+# Cost of another data centre: a few ms of latency, and billed traffic.
 OTHER_DATA_CENTRE_SECONDS = 0.004
-# What it is worth to answer by the newest weights.
-OLD_WEIGHTS_SECONDS = 0.05
-# An upstream without a kept connection: two ways of the network and its own
-# work for the new one. In a large fleet a router has each of 65 upstreams
-# asked once in half a minute; what has no home there goes where a connection
-# is kept. Well below what reading a shared part of 600 tokens takes.
+# Penalty of answering with weights that are not the newest.
+OLD_WEIGHTS_PENALTY_SECONDS = 0.05
+# Cost of opening a connection: a network round trip and the work of the
+# upstream. A router of a large fleet uses each of 65 upstreams about once in
+# half a minute, so requests without a home go to an upstream with an idle
+# connection. Well below the prefill time of a shared prefix of 600 tokens.
 NEW_CONNECTION_SECONDS = 0.01
-# Engines begin to answer within this time while nothing waits; a request that
-# has waited longer tells how long the queue is.
-USUAL_WAIT_SECONDS = 0.15
+# Engines without a queue begin to answer within this time. A request that has
+# waited longer indicates the length of the queue.
+NORMAL_WAIT_SECONDS = 0.15
 
 
 @dataclasses.dataclass(frozen=True)
-class Outlook:
-    """What a generation would meet at an engine.
+class EngineEstimate:
+    """Expected work and latency of a generation at an engine.
 
-    :ivar unread_tokens: of its prompt, that have to be computed there.
-    :ivar queue_seconds: until its own prompt's turn.
-    :ivar first_piece_seconds: until its first piece.
+    :ivar unread_tokens: prompt tokens that the engine has to compute.
+    :ivar queue_seconds: time until prefill of the prompt begins.
+    :ivar first_token_seconds: time to first token.
     """
 
     unread_tokens: int
     queue_seconds: float
-    first_piece_seconds: float
+    first_token_seconds: float
 
 
 @dataclasses.dataclass(frozen=True)
-class PromptMeasure:
-    """What of a prompt has to be read, for all engines alike.
+class PromptTokens:
+    """Token counts of a prompt that do not depend on the engine.
 
-    :ivar own_tokens: that no other request shares.
-    :ivar unknown_tokens: of the shared ones, those that no engine is known
-        to have read, by the version of the weights.
+    :ivar own_tokens: tokens that no other request shares.
+    :ivar shared_tokens: tokens of the shared prefix.
+    :ivar unknown_tokens: shared tokens that no engine is known to have
+        computed, by version of the weights.
     """
 
     model: str
@@ -76,15 +78,17 @@
 
 @dataclasses.dataclass(frozen=True)
 class PlacementContext:
-    """What the choice depends on beside the request.
+    """Inputs of a placement decision other than the request and engines.
 
     :ivar now: monotonic time in seconds.
-    :ivar data_centre: the router's own.
-    :ivar wanted_version: the newest weights of the request's model.
-    :ivar urgency: of the request; 0 is first.
-    :ivar slots: requests that one engine runs at once, zero if not known.
-    :ivar read_seconds: that engines take to compute a token of a prompt.
-    :ivar fetch_seconds: that they take to fetch one, None if not known.
+    :ivar data_centre: data centre of this router.
+    :ivar wanted_version: newest version of the weights of the model.
+    :ivar urgency: of the request; 0 is the most urgent.
+    :ivar slots: maximum number of concurrent requests per engine, zero if
+        unknown.
+    :ivar read_seconds: prefill time per token.
+    :ivar fetch_seconds: time to fetch the cache of one token, None if
+        unknown.
     """
 
     now: float
@@ -97,105 +101,118 @@
 
     @property
     def fetch_share(self) -> float:
-        """Return what fetching a token costs of the time to compute it."""
+        """Return the fetch time as a fraction of the prefill time."""
         if self.fetch_seconds is None:
-            return USUAL_FETCH_SHARE
+            return DEFAULT_FETCH_SHARE
         return min(self.fetch_seconds / self.read_seconds, 1.0)
 
 
 def lacks_connection(upstream: FleetUpstream) -> bool:
-    """Return whether a connection has to be opened first."""
+    """Return whether the upstream has no idle connection to reuse."""
     return not upstream.pool.has_kept
 
 
-def measure_prompt(
+def count_prompt_tokens(
     considered: list[FleetUpstream],
     generation: Generation,
-    wall: str,
+    cache_scope: str,
     parts: SharedParts,
-) -> PromptMeasure:
-    """Return what of a prompt has to be read.
+) -> PromptTokens:
+    """Return the token counts of a prompt.
 
-    :param considered: the engines that are weighed.
-    :param wall: the name under which the request shares cached context.
+    :param considered: the candidate engines.
+    :param cache_scope: scope within which the request shares cached
+        prefixes.
     """
     model = generation.model
     shared = generation.shared
     versions = {upstream.weights.get(model, 0) for upstream in considered}
-    return PromptMeasure(
+    return PromptTokens(
         model=model,
         own_tokens=generation.own_tokens,
         shared_tokens=sum(part.tokens for part in shared),
         unknown_tokens={
             version: parts.count_unknown(
-                build_salt(wall, model, version), shared
+                build_salt(cache_scope, model, version), shared
             )
             for version in versions
         },
     )
 
 
-def look_ahead(
+def estimate_engine(
     upstream: FleetUpstream,
     rank: int,
-    prompt: PromptMeasure,
-    around: PlacementContext,
-) -> Outlook:
-    """Return what a generation would meet at an engine."""
+    prompt: PromptTokens,
+    context: PlacementContext,
+) -> EngineEstimate:
+    """Return the expected work and latency of a generation at an engine.
+
+    :param rank: position of the engine among the homes of the prefix.
+    """
     unknown = prompt.unknown_tokens[upstream.weights.get(prompt.model, 0)]
     known = prompt.shared_tokens - unknown
-    fetched = known * _get_miss(rank) * around.fetch_share
+    fetched = known * _get_miss_probability(rank) * context.fetch_share
     unread = prompt.own_tokens + unknown + round(fetched)
-    queue = _expect_queue(upstream, around)
-    reading = unread * around.read_seconds
-    return Outlook(unread, queue, queue + reading + FIRST_STEP_SECONDS)
+    queue = _estimate_queue_seconds(upstream, context)
+    reading = unread * context.read_seconds
+    return EngineEstimate(unread, queue, queue + reading + FIRST_STEP_SECONDS)
 
 
-def _get_miss(rank: int) -> float:
-    """Return how likely an engine lacks a part that has homes elsewhere."""
-    return min(rank, HOMES) / HOMES
+def _get_miss_probability(rank: int) -> float:
+    """Return the probability that an engine has not cached a prefix."""
+    return min(rank, EXTRA_HOMES) / EXTRA_HOMES
 
 
-def _expect_queue(upstream: FleetUpstream, around: PlacementContext) -> float:
-    queue = count_queue(upstream) * around.read_seconds
-    waited = upstream.get_oldest_wait(around.now, around.urgency)
-    # The estimate is wrong where the oldest has waited longer already.
-    return max(queue, waited - USUAL_WAIT_SECONDS)
+def _estimate_queue_seconds(
+    upstream: FleetUpstream, context: PlacementContext
+) -> float:
+    queue = count_queued_tokens(upstream) * context.read_seconds
+    waited = upstream.get_oldest_wait(context.now, context.urgency)
+    # The estimate is too low if the oldest request has waited longer already.
+    return max(queue, waited - NORMAL_WAIT_SECONDS)
 
 
-def count_queue(upstream: FleetUpstream) -> int:
-    """Return the tokens that an engine has yet to read for all routers."""
+def count_queued_tokens(upstream: FleetUpstream) -> int:
+    """Return the tokens that an engine has yet to compute for all routers."""
     return upstream.unread_tokens + upstream.peers_unread
 
 
-def weigh_engine(
+def compute_engine_cost(
     upstream: FleetUpstream,
     rank: int,
-    prompt: PromptMeasure,
-    outlook: Outlook,
-    around: PlacementContext,
+    prompt: PromptTokens,
+    estimate: EngineEstimate,
+    context: PlacementContext,
 ) -> float:
-    """Return what it costs to begin a generation at an engine, in seconds.
+    """Return the cost of a generation at an engine, in seconds.
 
-    Beside the time to its first piece: what others pay for it.
+    The cost is the time to first token plus the delay of other requests and
+    penalties for a distant engine, a new connection and old weights.
     """
-    cost = outlook.first_piece_seconds
-    cost += _get_miss(rank) * prompt.shared_tokens * around.read_seconds
+    cost = estimate.first_token_seconds
+    cost += (
+        _get_miss_probability(rank)
+        * prompt.shared_tokens
+        * context.read_seconds
+    )
     running = upstream.in_flight + upstream.peers_in_flight
-    cost += running * RUNNING_SECONDS
-    if around.slots:
-        cost += max(running + 1 - around.slots, 0) * SLOT_SECONDS
-    cost += weigh_way(upstream, around)
+    cost += running * RUNNING_REQUEST_SECONDS
+    if context.slots:
+        cost += max(running + 1 - context.slots, 0) * SLOT_WAIT_SECONDS
+    cost += compute_network_cost(upstream, context)
     held = upstream.weights.get(prompt.model, 0)
-    if held < around.wanted_version:
-        cost += OLD_WEIGHTS_SECONDS
+    if held < context.wanted_version:
+        cost += OLD_WEIGHTS_PENALTY_SECONDS
     return cost
 
 
-def weigh_way(upstream: FleetUpstream, around: PlacementContext) -> float:
-    """Return what it costs to reach an upstream."""
+def compute_network_cost(
+    upstream: FleetUpstream, context: PlacementContext
+) -> float:
+    """Return the cost of reaching an upstream, in seconds."""
     cost = 0.0
-    if upstream.entry.data_centre != around.data_centre:
+    if upstream.entry.data_centre != context.data_centre:
         cost += OTHER_DATA_CENTRE_SECONDS
     if lacks_connection(upstream):
         cost += NEW_CONNECTION_SECONDS
--- a/src/lifttrestle/internal/fleet/policy/limit_belief.py
+++ b/src/lifttrestle/internal/fleet/policy/limit_belief.py
@@ -10,14 +10,13 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Decides what to believe of the rate that an upstream takes.
-
-The load that it answers: many requests are under way at an upstream when it
-begins to name a limit, changes it or names none any more, at several routers
-and for different times. Their answers arrive in another order than they were
-made in. Each was made between the moments at which its request was sent and
-the answer was heard. A lower limit counts if it may be the newest word; the
-end of a limit, and a higher one, only if they surely are.
+"""Tracks the rate limit that an upstream reports.
+
+When an upstream sets, changes or removes its limit, many requests of several
+routers are in flight, and their answers arrive out of order. Each answer was
+produced between the time its request was sent and the time it was received. A
+lower limit is applied if it may be the newest; the removal of a limit or a
+higher limit is applied only if it is certainly the newest.
 """
 
 import dataclasses
@@ -29,12 +28,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class ReportedLimit:
-    """What one answer says of its upstream's limit.
+    """Limit that one answer of an upstream reports.
 
-    :ivar rate: requests a second that the upstream takes from all routers
-        together, None if the answer names none.
-    :ivar fault: why what it names can't be used; such an answer proves
-        neither that there is a limit nor that there is none.
+    :ivar rate: requests per second that the upstream accepts from all
+        routers together, None if the answer reports no limit.
+    :ivar fault: why the reported limit is invalid; such an answer proves
+        neither the presence nor the absence of a limit.
     """
 
     rate: float | None = None
@@ -43,10 +42,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class LimitObservation:
-    """What an answer said, and when it was made, monotonic seconds.
+    """Limit reported by an answer, with the time at which it was produced.
 
-    :ivar begin: it was made at this time at the soonest.
-    :ivar end: and at this time at the latest.
+    :ivar rate: requests per second, None if no limit was reported.
+    :ivar begin: earliest time of production, monotonic seconds.
+    :ivar end: latest time of production, monotonic seconds.
     """
 
     rate: float | None
@@ -55,7 +55,7 @@
 
 
 class LimitChange(enum.Enum):
-    """What a sign changes."""
+    """Effect of an observation on the known limit."""
 
     NOTHING = 'nothing'
     LEARNT = 'learnt'
@@ -65,43 +65,43 @@
 
 @dataclasses.dataclass
 class LimitBelief:
-    """What is believed of one start of an upstream.
+    """Known limit of one start of an upstream.
 
-    :ivar rate: in force, None without a limit.
-    :ivar latest: the newest sign that named a limit; its end is minus infinity
+    :ivar rate: requests per second in force, None without a limit.
+    :ivar latest: newest observation of a limit; its end is minus infinity
         before the first.
-    :ivar ended_at: when an answer without a limit was heard that ended one.
+    :ivar ended_at: when the answer was received that removed the limit.
     """
 
     rate: float | None = None
     latest: LimitObservation = LimitObservation(None, -math.inf, -math.inf)
     ended_at: float = -math.inf
 
-    def update(self, sign: LimitObservation) -> LimitChange:
-        """Take in a sign; return what it changes."""
-        if sign.rate is None:
-            return self._note_none(sign)
-        if sign.begin < self.ended_at:
-            # It may have been under way while the limit was ended.
+    def update(self, observation: LimitObservation) -> LimitChange:
+        """Apply an observation and return its effect."""
+        if observation.rate is None:
+            return self._apply_removal(observation)
+        if observation.begin < self.ended_at:
+            # It may have been produced before the limit was removed.
             return LimitChange.NOTHING
         before = self.rate
-        newer = sign.begin >= self.latest.end
-        if before is not None and not newer and sign.rate > before:
+        newer = observation.begin >= self.latest.end
+        if before is not None and not newer and observation.rate > before:
             return LimitChange.NOTHING
-        if before is not None and sign.end < self.latest.begin:
+        if before is not None and observation.end < self.latest.begin:
             return LimitChange.NOTHING
-        self.rate = sign.rate
-        if sign.end > self.latest.end:
-            self.latest = sign
+        self.rate = observation.rate
+        if observation.end > self.latest.end:
+            self.latest = observation
         if before is None:
             return LimitChange.LEARNT
-        if before != sign.rate:
+        if before != observation.rate:
             return LimitChange.CHANGED
         return LimitChange.NOTHING
 
-    def _note_none(self, sign: LimitObservation) -> LimitChange:
-        if self.rate is None or sign.begin < self.latest.end:
+    def _apply_removal(self, observation: LimitObservation) -> LimitChange:
+        if self.rate is None or observation.begin < self.latest.end:
             return LimitChange.NOTHING
         self.rate = None
-        self.ended_at = sign.end
+        self.ended_at = observation.end
         return LimitChange.ENDED
--- a/src/lifttrestle/internal/fleet/policy/limit_permits.py
+++ b/src/lifttrestle/internal/fleet/policy/limit_permits.py
@@ -10,159 +10,165 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Decides which requests an upstream in need is sent, one after the other.
+"""Token bucket of permits to send requests to a rate-limited upstream.
 
-The load that it answers: an upstream takes one request a second, or one in
-ten, from hundreds of routers that have as many for it. A share for each would
-be one request in minutes, and what others may do until they are heard again
-would be more than the whole. One router gives out permits, each for one send;
-sums hold then however many routers there are.
+An upstream may accept one request per second, or one in ten seconds, from
+hundreds of routers. A static share per router would be one request in several
+minutes, and what the other routers may send between two updates would exceed
+the whole limit. One router therefore issues permits, each for one request,
+which bounds the total for any number of routers.
 """
 
 import math
 
 from lifttrestle.internal.fleet.policy.recent_use import RecentUse
 
-# What may be saved up beside one request: another one at the router that gives
-# the whole limit, and what it allows in this time. A request that comes a
-# little late then finds its permit.
-SAVED_SECONDS = 0.25
-# An upstream that takes nothing gets one request in ten seconds all the same:
-# only an answer can tell that it takes more again.
+# The bucket holds one request, a second one at the router that issues the
+# whole limit, and the refill of this time, so that a request that arrives a
+# little late still finds its permit.
+BURST_SECONDS = 0.25
+# An upstream with a limit of zero still gets one request in ten seconds, as
+# only an answer can report a higher limit.
 MIN_RATE = 0.1
-# What an upstream gets grows so much a second after its limit has ended or
-# risen. All that was held back at once would bring it into need again.
-GROWTH = 2.0
-# It is given back from this many requests a second on.
+# Growth factor per second of the permitted rate after a limit was removed or
+# raised. Releasing the whole backlog at once would overload the upstream
+# again.
+GROWTH_PER_SECOND = 2.0
+# Growth starts at this rate at least, in requests per second.
 MIN_GROWTH_RATE = 1.0
-# A limit that has ended is forgotten after this, or sooner if nobody was
-# refused for longer than the refused are told to wait: what comes by itself is
-# then what the routers have for it.
+# A removed limit is discarded after this time, or sooner if no request was
+# refused for longer than refused requests are told to wait: the demand of the
+# routers is then below the permitted rate.
 RECOVERY_SECONDS = 8.0
-CALM_SECONDS = 4.0
-# What is refused to those that have no other upstream is kept for them for
-# this long at the most, before others get it.
-KEPT_SECONDS = 2.0
-# Refused routers are told times that lie apart by so much at the most.
+NO_REFUSAL_SECONDS = 4.0
+# Maximum time for which a permit is reserved for a refused request that has no
+# other upstream.
+RESERVATION_SECONDS = 2.0
+# Retry times of refused routers are spread over this time at most.
 MAX_SPREAD_SECONDS = 2.0
 MIN_WAIT_SECONDS = 0.02
-# Ranks of requests below this are of those that have no other upstream.
+# Requests that another upstream can serve have this rank or a higher one.
 FIRST_FLEXIBLE_RANK = 10
-# Second sends come after all others.
-FIRST_REPEAT_RANK = 20
+# Retries have this rank or a higher one, and come after all others.
+FIRST_RETRY_RANK = 20
 
 
 def rank_request(urgency: int, *, has_others: bool, repeated: bool) -> int:
-    """Return the rank of a request among those that want a permit.
+    """Return the rank of a request among those waiting for a permit.
 
-    Those that no other upstream can take come first, repeats last, the more
-    urgent ones first among each.
+    Requests that no other upstream can serve come first and retries last;
+    within each group, more urgent requests come first.
 
     :param urgency: from 0, the most urgent, to 9.
+    :param has_others: another upstream can serve the request.
+    :param repeated: the request was sent before.
     """
     if repeated:
-        return FIRST_REPEAT_RANK + urgency
+        return FIRST_RETRY_RANK + urgency
     return urgency + (FIRST_FLEXIBLE_RANK if has_others else 0)
 
 
 class PermitBucket:
-    """Permits to send to one start of an upstream.
+    """Token bucket of permits for one start of an upstream.
 
-    :ivar rate: what the upstream takes a second, None after its limit ended.
-    :ivar share: of the limit that this router gives out.
-    :ivar use: permits that it gave lately.
+    :ivar rate: limit in requests per second, None after it was removed.
+    :ivar share: fraction of the limit that this router issues.
+    :ivar use: recently issued permits.
     """
 
     def __init__(self, rate: float | None, share: float, now: float) -> None:
         self.rate = rate
         self.share = share
         self.use = RecentUse()
-        # What was sent before anybody knew was the upstream's for now.
+        # Empty, as requests were sent before the limit was known.
         self._level = 0.0
         self._at = now
-        # Of a limit that has ended nobody can tell how far it was given back.
+        # How far the rate had grown after the removal of a limit is unknown.
         self._grown_from = MIN_GROWTH_RATE if rate is None else math.inf
         self._grown_at = now
         self._refused_at = -math.inf
-        self._kept: dict[int, float] = {}
-        self._promised_until = now
+        self._reserved: dict[int, float] = {}
+        self._next_retry_at = now
 
     def set_share(self, share: float, now: float) -> None:
-        """Give out another part of the limit."""
+        """Set the fraction of the limit that this router issues."""
         self._advance(now)
         self.share = share
 
     def set_rate(self, rate: float | None, now: float) -> None:
-        """Go by another limit, or by none; more is given in steps."""
+        """Set or remove the limit; a higher rate is approached gradually."""
         self._advance(now)
         before = self.get_rate(now)
         self._grown_from = max(before, MIN_GROWTH_RATE)
         self._grown_at = now
         self.rate = rate
-        self._promised_until = now
+        self._next_retry_at = now
         if rate is None:
-            # Nobody has been refused anything of what is given from now on.
+            # Refusals under the old limit do not count.
             self._refused_at = -math.inf
 
     def get_rate(self, now: float) -> float:
-        """Return the requests a second that all routers may send now."""
+        """Return the permitted rate of all routers, in requests per second."""
         rate = math.inf if self.rate is None else self.rate
         if math.isfinite(self._grown_from):
-            grown = GROWTH ** min(now - self._grown_at, 100.0)
+            grown = GROWTH_PER_SECOND ** min(now - self._grown_at, 100.0)
             rate = min(rate, self._grown_from * grown)
         return max(rate, MIN_RATE)
 
     def has_recovered(self, now: float) -> bool:
-        """Return whether a limit has ended and all is given back."""
+        """Return whether the limit was removed and the rate has recovered."""
         if self.rate is not None:
             return False
         passed = now - self._grown_at
-        calm = now - max(self._refused_at, self._grown_at)
-        return passed >= RECOVERY_SECONDS or calm >= CALM_SECONDS
+        since_refusal = now - max(self._refused_at, self._grown_at)
+        return (
+            passed >= RECOVERY_SECONDS or since_refusal >= NO_REFUSAL_SECONDS
+        )
 
     def take(self, rank: int, now: float) -> float:
-        """Return zero for a permit, or the seconds after which to ask again.
+        """Return zero for a permit, or the seconds after which to retry.
 
-        :param rank: of the request, as ``rank_request`` tells it.
+        :param rank: of the request, as returned by ``rank_request``.
         """
         self._advance(now)
-        if self._level >= 1.0 and not self._is_kept(rank, now):
+        if self._level >= 1.0 and not self._is_reserved(rank, now):
             self._level -= 1.0
-            self._kept.pop(rank, None)
+            self._reserved.pop(rank, None)
             self.use.note(1.0, now)
             return 0.0
         self._refused_at = now
         if rank < FIRST_FLEXIBLE_RANK:
-            self._kept[rank] = now
-        return self._find_wait(now)
+            self._reserved[rank] = now
+        return self._schedule_retry(now)
 
     def _advance(self, now: float) -> None:
         seconds = max(now - self._at, 0.0)
         self._at = now
         rate = self._get_own_rate(now)
-        most = 1.0 + self.share + SAVED_SECONDS * rate
+        most = 1.0 + self.share + BURST_SECONDS * rate
         self._level = min(self._level + rate * seconds, most)
 
     def _get_own_rate(self, now: float) -> float:
         return self.get_rate(now) * self.share
 
-    def _is_kept(self, rank: int, now: float) -> bool:
-        """Return whether the next permit is for a more important request."""
-        since = now - min(KEPT_SECONDS, 2.0 / self._get_own_rate(now))
-        self._kept = {
-            kept: at for kept, at in self._kept.items() if at >= since
+    def _is_reserved(self, rank: int, now: float) -> bool:
+        """Return whether a more important request has the next permit."""
+        since = now - min(RESERVATION_SECONDS, 2.0 / self._get_own_rate(now))
+        self._reserved = {
+            other: at for other, at in self._reserved.items() if at >= since
         }
-        return any(kept < rank for kept in self._kept)
+        return any(other < rank for other in self._reserved)
 
-    def _find_wait(self, now: float) -> float:
-        """Return when there is a permit; each that asks is told a later one.
+    def _schedule_retry(self, now: float) -> float:
+        """Return the seconds until a permit is expected.
 
-        Routers that were told the same time would all ask at it.
+        Each call returns a later time, as routers with the same retry time
+        would all ask at once.
         """
         rate = self._get_own_rate(now)
         room = now + max(1.0 - self._level, 0.0) / rate
-        begin = max(self._promised_until, room)
+        begin = max(self._next_retry_at, room)
         if begin > room + MAX_SPREAD_SECONDS:
             begin = room
-        self._promised_until = begin + 1.0 / rate
+        self._next_retry_at = begin + 1.0 / rate
         return max(begin - now, MIN_WAIT_SECONDS)
--- a/src/lifttrestle/internal/fleet/policy/load_pacing.py
+++ b/src/lifttrestle/internal/fleet/policy/load_pacing.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Decides which engines load newer weights next, and who orders that."""
+"""Selects the engines to load newer weights and the router that orders it."""
 
 from collections.abc import Iterable
 import dataclasses
@@ -19,27 +19,30 @@
 from lifttrestle.internal.fleet.state.upstream import FleetUpstream
 from lifttrestle.internal.routing.rendezvous import rank_names
 
-# Orders of a batch are sent within this time after its row was asked for.
+# Load orders of a batch are sent within this time after the request for its
+# row.
 ORDER_SECONDS = 0.8
-# More than this passes between the last order of one holder and the first of
-# the next, on top of the lease: clocks of the two run at different speeds.
+# Margin between the last order of a lease holder and the first order of the
+# next one, in addition to the lease: their clocks run at different speeds.
 HANDOVER_SECONDS = 0.5
-# The others leave the last holder this much time to act, each one more.
-FIRST_TURN_SECONDS = 1.5
-NEXT_TURN_SECONDS = 0.25
-# Engines that load at the same time, of all of a model's: two of five load
-# without slowing each other down. One at a time gained nothing beyond noise.
+# Time that the last holder has to renew the lease, and the additional delay of
+# each further router.
+HOLDER_RENEWAL_SECONDS = 1.5
+TAKEOVER_STAGGER_SECONDS = 0.25
+# Fraction of the engines of a model that load at the same time: two of five
+# load without slowing each other down. Loading one at a time showed no benefit
+# beyond noise.
 LOADING_SHARE = 0.4
 
 
 @dataclasses.dataclass(frozen=True)
 class LeaseState:
-    """What decides when a router may take the lease over, in seconds.
+    """State of a lease as seen by one router; times are monotonic seconds.
 
     :ivar needed_since: when weights were first seen to be missing.
-    :ivar held_at: when the lease was last seen to change hands or be used.
+    :ivar held_at: when the lease was last seen to be acquired or used.
     :ivar holder: key of the last holder, or None before the first.
-    :ivar lease_seconds: between the orders of two holders.
+    :ivar lease_seconds: minimum time between the orders of two holders.
     """
 
     needed_since: float
@@ -51,7 +54,7 @@
 def list_engines(
     upstreams: Iterable[FleetUpstream], model: str
 ) -> list[FleetUpstream]:
-    """Return the engines of a model that stay."""
+    """Return the engines of a model that are not leaving or gone."""
     return [
         upstream
         for upstream in upstreams
@@ -65,7 +68,7 @@
 def list_outdated(
     engines: Iterable[FleetUpstream], model: str, version: int
 ) -> list[FleetUpstream]:
-    """Return those without the version, the oldest and least busy first."""
+    """Return the engines without a version, oldest and least busy first."""
     outdated = [
         engine for engine in engines if engine.weights.get(model, 0) < version
     ]
@@ -76,30 +79,31 @@
 
 
 def count_loadable(engines: list[FleetUpstream], now: float) -> int:
-    """Return how many engines may be without work at the same time.
+    """Return how many engines may load at the same time, at least one.
 
-    Those that seem not to be there are without work already.
+    Engines that may be unreachable already reduce the capacity and count
+    as loading.
     """
     absent = [engine for engine in engines if engine.is_doubtful(now)]
-    room = math.floor(LOADING_SHARE * len(engines)) - len(absent)
-    return max(room, 1)
+    allowed = math.floor(LOADING_SHARE * len(engines)) - len(absent)
+    return max(allowed, 1)
 
 
 def find_takeover_time(
-    model: str, routers: list[str], key: str, turn: LeaseState
+    model: str, routers: list[str], key: str, lease: LeaseState
 ) -> float:
-    """Return when a router may take the lease of a model over.
+    """Return when a router may take over the lease of a model.
 
-    The routers' turns follow one another, so that they do not all write at
-    the moment at which the last holder's orders are surely over.
+    The times of the routers are staggered, so that they do not all write as
+    soon as the orders of the last holder have certainly ended.
 
     :param routers: keys of the live routers.
-    :param key: of the router that asks.
+    :param key: key of the router that wants the lease.
     """
-    needed = turn.needed_since
-    if turn.holder is not None:
-        needed += FIRST_TURN_SECONDS
-    rest = turn.lease_seconds + ORDER_SECONDS + HANDOVER_SECONDS
-    others = [router for router in routers if router != turn.holder]
+    needed = lease.needed_since
+    if lease.holder is not None:
+        needed += HOLDER_RENEWAL_SECONDS
+    rest = lease.lease_seconds + ORDER_SECONDS + HANDOVER_SECONDS
+    others = [router for router in routers if router != lease.holder]
     rank = rank_names(model.encode()[:64], others).index(key)
-    return max(needed, turn.held_at + rest) + rank * NEXT_TURN_SECONDS
+    return max(needed, lease.held_at + rest) + rank * TAKEOVER_STAGGER_SECONDS
--- a/src/lifttrestle/internal/fleet/policy/load_paths.py
+++ b/src/lifttrestle/internal/fleet/policy/load_paths.py
@@ -10,46 +10,47 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Decides how routers learn of each other's loads.
+"""Decides how routers exchange their loads.
 
-In a small fleet each tells all others. What each hears grows with their
-number: of 195 routers each could tell 1.3 times a second, and began two
-streams in that time, so that nearly all choices rested on loads that had
-changed since. There one router of each data centre adds up what the others
-tell it, and tells them the sum of all.
+In a small fleet each router reports to all others. The number of received
+reports grows with the fleet: with 195 routers, each could report 1.3 times a
+second and began two streams in that time, so that nearly all decisions used
+outdated loads. In a large fleet one router of each data centre, the
+aggregator, sums the reports of the others and sends them the total.
 """
 
 from collections.abc import Collection
 
 from lifttrestle.internal.routing.rendezvous import rank_names
 
-# Up to so many routers tell all others every 0.15 s, and each hears 250
-# reports a second at the most.
+# Up to this number, each router reports to all others every 0.15 s, and
+# receives at most 250 reports a second.
 MAX_DIRECT_ROUTERS = 37
-RANKING = b'loads'
-# Of each data centre so many are told the other groups' sums. While the
-# first is gone its routers ask the second, which has to be found by others.
-LIKELY_AGGREGATORS = 2
+RANKING_KEY = b'loads'
+# Routers of each data centre that receive the sums of the other groups. While
+# the first is gone, its routers query the second, which other groups must be
+# able to determine too.
+AGGREGATOR_CANDIDATES = 2
 
 
 def uses_aggregation(routers: int) -> bool:
-    """Return whether sums are told in place of each router's report."""
+    """Return whether reports are aggregated rather than sent to all."""
     return routers > MAX_DIRECT_ROUTERS
 
 
 def choose_aggregator(neighbours: list[str], avoided: Collection[str]) -> str:
-    """Return which router of a data centre adds up for the others.
+    """Return the router that aggregates the reports of a data centre.
 
-    All choose the same one while they know the same routers.
+    Routers with the same view of the fleet choose the same aggregator.
 
-    :param neighbours: the routers of the data centre, one at least.
-    :param avoided: those that did not answer lately.
+    :param neighbours: routers of the data centre, at least one.
+    :param avoided: routers that recently failed to answer.
     """
-    ranked = rank_names(RANKING, neighbours)
-    sound = [router for router in ranked if router not in avoided]
-    return (sound or ranked)[0]
+    ranked = rank_names(RANKING_KEY, neighbours)
+    responsive = [router for router in ranked if router not in avoided]
+    return (responsive or ranked)[0]
 
 
 def list_aggregators(neighbours: list[str]) -> list[str]:
-    """Return which routers of a data centre are likely to add up."""
-    return rank_names(RANKING, neighbours)[:LIKELY_AGGREGATORS]
+    """Return the routers of a data centre that may be its aggregator."""
+    return rank_names(RANKING_KEY, neighbours)[:AGGREGATOR_CANDIDATES]
--- a/src/lifttrestle/internal/fleet/policy/other_routers.py
+++ b/src/lifttrestle/internal/fleet/policy/other_routers.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""The other routers of a fleet, and how long ago each was heard of."""
+"""The other routers of a fleet and the age of their last reports."""
 
 from collections.abc import Mapping
 import math
@@ -19,76 +19,78 @@
 
 
 class OtherRouters:
-    """The other routers in groups, and when each group was last heard of.
+    """The other routers in groups, and when each group last reported.
 
-    A group is one router or several that one of them speaks for.
+    A group is one router, or several for which one of them reports.
 
-    :param summed: what is heard is a level, in place of what was used; until
-        the next one they are taken to go on as they did.
+    :param summed: reports contain a level rather than usage; until the next
+        report, usage is assumed to continue at the same rate.
     """
 
     def __init__(self, *, summed: bool = False) -> None:
         self.summed = summed
         self._groups: dict[str, int] = {}
         self._heard: dict[str, float] = {}
-        self._looked_at = -math.inf
+        self._refreshed_at = -math.inf
         self._silent: frozenset[str] = frozenset()
-        self._pending = 0.0
+        self._unreported_seconds = 0.0
         self.count = 0
 
     def set_groups(self, groups: Mapping[str, int], heard_at: float) -> None:
-        """Go by other groups, with the number of routers that each has.
+        """Replace the groups.
 
-        :param heard_at: when new ones count as last heard of.
+        :param groups: number of routers by name of the group.
+        :param heard_at: time of the last report to assume for new groups,
+            monotonic seconds.
         """
         self._groups = dict(groups)
         self._heard = {
             name: self._heard.get(name, heard_at) for name in groups
         }
         self.count = sum(groups.values())
-        self._looked_at = -math.inf
+        self._refreshed_at = -math.inf
 
     def __contains__(self, name: object) -> bool:
-        """Return whether there is a group of that name."""
+        """Return whether a group of this name exists."""
         return name in self._groups
 
-    def get_routers(self, name: str) -> int:
-        """Return how many routers a group has."""
+    def get_router_count(self, name: str) -> int:
+        """Return the number of routers of a group, zero if it is unknown."""
         return self._groups.get(name, 0)
 
     def note_heard(self, name: str, now: float) -> None:
-        """Note that a group has told its use."""
+        """Record a report of a group."""
         if name in self._groups:
             self._heard[name] = now
-            self._looked_at = -math.inf
+            self._refreshed_at = -math.inf
 
     def get_age(self, name: str, now: float) -> float:
-        """Return the seconds since a group was last heard of."""
+        """Return the seconds since the last report of a group."""
         return now - self._heard.get(name, -math.inf)
 
     def list_silent(self, now: float) -> frozenset[str]:
-        """Return the groups that are out of touch."""
-        self._look(now)
+        """Return the groups without a recent report."""
+        self._refresh(now)
         return self._silent
 
-    def get_pending(self, now: float) -> float:
-        """Return the seconds for which routers in touch were not heard.
+    def get_unreported_seconds(self, now: float) -> float:
+        """Return the time since the last report, summed over routers.
 
-        They are added up over all of these routers.
+        Silent groups are excluded.
         """
-        self._look(now)
-        return self._pending
+        self._refresh(now)
+        return self._unreported_seconds
 
-    def _look(self, now: float) -> None:
-        if now == self._looked_at:
+    def _refresh(self, now: float) -> None:
+        if now == self._refreshed_at:
             return
-        self._looked_at = now
+        self._refreshed_at = now
         silent = []
-        self._pending = 0.0
+        self._unreported_seconds = 0.0
         for name, routers in self._groups.items():
             age = now - self._heard[name]
             if age > SILENT_SECONDS:
                 silent.append(name)
             else:
-                self._pending += age * routers
+                self._unreported_seconds += age * routers
         self._silent = frozenset(silent)
--- a/src/lifttrestle/internal/fleet/policy/permit_allocators.py
+++ b/src/lifttrestle/internal/fleet/policy/permit_allocators.py
@@ -10,31 +10,31 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Decides which router gives out the permits for an upstream.
+"""Selects the routers that issue the permits for an upstream.
 
-It is one of the upstream's own data centre: whoever reaches the upstream
-reaches that data centre, and its own routers have the short way. Where it
-does not answer, as it is gone or behind a cut, the next two give out a quarter
-and an eighth of the limit, so that however a fleet is split all sides together
-give out no more than one and a half times the limit.
+The allocator is a router in the data centre of the upstream: a router that
+reaches the upstream also reaches that data centre, and the local routers have
+the shortest path. If the allocator does not answer, because it is gone or
+partitioned, the next two issue a quarter and an eighth of the limit, so that
+all sides of a partition together issue at most one and a half times the limit.
 """
 
 from collections.abc import Collection
 
 from lifttrestle.internal.routing.rendezvous import rank_names
 
-RANKING = b'limits'
+RANKING_KEY = b'limits'
 MAX_ALLOCATORS = 3
-# Of the limit, what the first, second and third router give out.
+# Fractions of the limit that the first, second and third allocator issue.
 SHARES = (1.0, 0.25, 0.125)
 
 
 def rank_allocators(routers: Collection[str]) -> list[str]:
-    """Return the routers that may give out permits, the first one first.
+    """Return the routers that may issue permits, in order of preference.
 
-    All choose the same ones while they know the same routers.
+    Routers with the same view of the fleet return the same order.
 
-    :param routers: of the upstream's data centre, or all of the fleet where
-        there are none.
+    :param routers: routers in the data centre of the upstream, or all routers
+        of the fleet if it has none.
     """
-    return rank_names(RANKING, sorted(routers))[:MAX_ALLOCATORS]
+    return rank_names(RANKING_KEY, sorted(routers))[:MAX_ALLOCATORS]
--- a/src/lifttrestle/internal/fleet/policy/placement.py
+++ b/src/lifttrestle/internal/fleet/policy/placement.py
@@ -10,51 +10,54 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Chooses the upstream that a request is sent to."""
+"""Selects the upstream for a request."""
 
 import dataclasses
 import itertools
 import random
 
 from lifttrestle.internal.fleet.path.dialect import Generation
-from lifttrestle.internal.fleet.policy.engine_costs import count_queue
+from lifttrestle.internal.fleet.policy.engine_costs import compute_engine_cost
+from lifttrestle.internal.fleet.policy.engine_costs import compute_network_cost
+from lifttrestle.internal.fleet.policy.engine_costs import count_prompt_tokens
+from lifttrestle.internal.fleet.policy.engine_costs import count_queued_tokens
+from lifttrestle.internal.fleet.policy.engine_costs import estimate_engine
 from lifttrestle.internal.fleet.policy.engine_costs import lacks_connection
-from lifttrestle.internal.fleet.policy.engine_costs import look_ahead
-from lifttrestle.internal.fleet.policy.engine_costs import measure_prompt
 from lifttrestle.internal.fleet.policy.engine_costs import PlacementContext
-from lifttrestle.internal.fleet.policy.engine_costs import weigh_engine
-from lifttrestle.internal.fleet.policy.engine_costs import weigh_way
 from lifttrestle.internal.fleet.state.shared_parts import SharedParts
 from lifttrestle.internal.fleet.state.upstream import FleetUpstream
 from lifttrestle.internal.routing.rendezvous import rank_names
 
-# Spreads requests over upstreams that are as good as each other.
-TIE_SECONDS = 0.002
-# Engines that are weighed: a few homes, so that the loss of some and a load
-# there leave one, and some others drawn at random. To weigh all of 60 took
-# 1.1 ms of processor time a choice, and all of 600 11 ms; these take 0.3 ms
-# and 1.7 ms (benchmarks/decisions.py). Routers that hear the same sums would
-# send to the same least loaded engine until the next one: with 195 routers
-# before 59 engines at 0.75 of what they can read 0.947 of the callers are in
-# time with eight others, 0.974 with four, 0.981 with two (played load).
+# Upper bound of a random cost that spreads requests over equal upstreams.
+TIE_BREAK_SECONDS = 0.002
+# Candidates per decision: some homes, enough that one remains if others are
+# lost or loading weights, and some random engines. Computing the costs of all
+# engines took 1.1 ms of CPU time per decision with 60 engines and 11 ms with
+# 600; the candidates take 0.3 ms and 1.7 ms (benchmarks/decisions.py). Routers
+# with the same load sums would all choose the least loaded engine until the
+# next update: with 195 routers and 59 engines at 0.75 of their prefill
+# capacity, the fraction of requests in time is 0.947 with eight random
+# engines, 0.974 with four and 0.981 with two (simulated load).
 CONSIDERED_HOMES = 4
 CONSIDERED_OTHERS = 4
-# Candidates that the log tells of.
-MAX_TOLD = 5
-# A running request of a plain service holds one of few slots.
+# Maximum number of candidates in a log event.
+MAX_LOGGED_CANDIDATES = 5
+# Cost per running request of a plain service, which has few slots.
 PLAIN_RUNNING_SECONDS = 0.03
 
 
 @dataclasses.dataclass(frozen=True)
 class Placement:
-    """An upstream and why it was chosen, for the log.
-
-    :ivar expected_seconds: until the first piece of the answer.
-    :ivar queue_seconds: of these, until its own prompt is read.
-    :ivar unread_tokens: of the prompt, to be computed there.
-    :ivar queue_tokens: to be computed there before them.
-    :ivar candidates: the best few instances with their costs in seconds.
-    :ivar avoided: some instances that were left out for signs of trouble.
+    """A chosen upstream and the reasons for the choice.
+
+    :ivar reason: why it was chosen, for the log.
+    :ivar expected_seconds: expected time to the first token of the answer;
+        the cost, for a plain service.
+    :ivar queue_seconds: part of it until prefill of the prompt begins.
+    :ivar unread_tokens: prompt tokens that the engine has to compute.
+    :ivar queue_tokens: tokens that it has to compute before them.
+    :ivar candidates: the cheapest instances with their costs in seconds.
+    :ivar avoided: some instances that were excluded as unhealthy.
     """
 
     upstream: FleetUpstream
@@ -68,70 +71,74 @@
 
 
 def choose_plain(
-    fit: list[FleetUpstream], around: PlacementContext, source: random.Random
+    fit: list[FleetUpstream], context: PlacementContext, source: random.Random
 ) -> Placement | None:
-    """Return the upstream of a plain service that should answer first."""
+    """Return the upstream of a plain service with the lowest cost.
+
+    Returns None if there is no upstream.
+    """
     costs = {}
-    sound = _prefer_sound(fit, around.now)
-    for upstream in sound:
+    healthy = _prefer_healthy(fit, context.now)
+    for upstream in healthy:
         cost = upstream.first_byte_seconds
         cost += upstream.in_flight * PLAIN_RUNNING_SECONDS
-        cost += weigh_way(upstream, around)
-        cost += source.random() * TIE_SECONDS
+        cost += compute_network_cost(upstream, context)
+        cost += source.random() * TIE_BREAK_SECONDS
         costs[upstream.instance] = cost
-    if not sound:
+    if not healthy:
         return None
-    return _take_least(fit, sound, costs, 'least expected time')
+    return _choose_cheapest(fit, healthy, costs, 'least expected time')
 
 
 def choose_engine(
     fit: list[FleetUpstream],
     generation: Generation,
-    wall: str,
+    cache_scope: str,
     parts: SharedParts,
-    around: PlacementContext,
+    context: PlacementContext,
     source: random.Random,
 ) -> Placement | None:
-    """Return the engine that should begin the generation first.
+    """Return the engine with the lowest cost for a generation.
 
-    Requests that share a part go to the same few engines, which then hold
-    it; load moves them away only when waiting costs more than reading.
+    Requests with a common prefix go to the same few engines, its homes, which
+    then have it cached. They go elsewhere only when waiting costs more than
+    computing the prefix. Returns None if there is no engine.
     """
-    ranked = _rank_homes(fit, generation, wall)
-    considered = _list_considered(ranked, around.now, source)
+    ranked = _rank_homes(fit, generation, cache_scope)
+    considered = _list_considered(ranked, context.now, source)
     if not considered:
         return None
-    prompt = measure_prompt(considered, generation, wall, parts)
-    outlooks = {}
+    prompt = count_prompt_tokens(considered, generation, cache_scope, parts)
+    estimates = {}
     costs = {}
     for rank, upstream in enumerate(considered):
-        outlook = look_ahead(upstream, rank, prompt, around)
-        outlooks[upstream.instance] = outlook
-        costs[upstream.instance] = weigh_engine(
-            upstream, rank, prompt, outlook, around
+        estimate = estimate_engine(upstream, rank, prompt, context)
+        estimates[upstream.instance] = estimate
+        costs[upstream.instance] = compute_engine_cost(
+            upstream, rank, prompt, estimate, context
         )
     homes = ranked[:CONSIDERED_HOMES] if _is_large(ranked) else ranked
-    placement = _take_least(homes, considered, costs, 'home')
+    placement = _choose_cheapest(homes, considered, costs, 'home')
     chosen = placement.upstream
-    outlook = outlooks[chosen.instance]
+    estimate = estimates[chosen.instance]
     return dataclasses.replace(
         placement,
         reason=f'home {considered.index(chosen)}',
-        expected_seconds=outlook.first_piece_seconds,
-        queue_seconds=outlook.queue_seconds,
-        unread_tokens=outlook.unread_tokens,
-        queue_tokens=count_queue(chosen),
+        expected_seconds=estimate.first_token_seconds,
+        queue_seconds=estimate.queue_seconds,
+        unread_tokens=estimate.unread_tokens,
+        queue_tokens=count_queued_tokens(chosen),
     )
 
 
 def _rank_homes(
-    fit: list[FleetUpstream], generation: Generation, wall: str
+    fit: list[FleetUpstream], generation: Generation, cache_scope: str
 ) -> list[FleetUpstream]:
-    # A prompt that shares nothing has no home; ranked alike, all such prompts
-    # went to the same engine until news of its load came round.
+    # A prompt without a shared prefix has no home. If all such prompts had the
+    # same key, they would go to the same engine until its load is reported.
     named = generation.shared or generation.parts
     key = named[-1].part_id if named else ''
-    digest = f'{wall}/{key}'.encode()[:64]
+    digest = f'{cache_scope}/{key}'.encode()[:64]
     by_name = {upstream.instance: upstream for upstream in fit}
     return [by_name[name] for name in rank_names(digest, list(by_name))]
 
@@ -139,55 +146,60 @@
 def _list_considered(
     ranked: list[FleetUpstream], now: float, source: random.Random
 ) -> list[FleetUpstream]:
-    """Return the engines that are weighed, the best home first."""
+    """Return the candidate engines, the first home first."""
     if not _is_large(ranked):
-        return _prefer_sound(ranked, now)
-    homes = _take_sound(ranked, now, CONSIDERED_HOMES)
+        return _prefer_healthy(ranked, now)
+    homes = _take_healthy(ranked, now, CONSIDERED_HOMES)
     others = [
         upstream
         for upstream in source.sample(ranked, len(ranked) // 2)
         if upstream not in homes
     ]
     others.sort(key=lacks_connection)
-    considered = homes + _take_sound(others, now, CONSIDERED_OTHERS)
-    return considered or _prefer_sound(ranked, now)
+    considered = homes + _take_healthy(others, now, CONSIDERED_OTHERS)
+    return considered or _prefer_healthy(ranked, now)
 
 
 def _is_large(fit: list[FleetUpstream]) -> bool:
     return len(fit) > CONSIDERED_HOMES + CONSIDERED_OTHERS
 
 
-def _take_sound(
+def _take_healthy(
     upstreams: list[FleetUpstream], now: float, count: int
 ) -> list[FleetUpstream]:
-    """Return the first few without signs of trouble."""
-    sound = (item for item in upstreams if _is_sound(item, now))
-    return list(itertools.islice(sound, count))
+    """Return up to ``count`` healthy upstreams, in order."""
+    healthy = (item for item in upstreams if _is_healthy(item, now))
+    return list(itertools.islice(healthy, count))
 
 
-def _take_least(
+def _choose_cheapest(
     fit: list[FleetUpstream],
-    sound: list[FleetUpstream],
+    healthy: list[FleetUpstream],
     costs: dict[str, float],
     reason: str,
 ) -> Placement:
-    best = min(sound, key=lambda upstream: costs[upstream.instance])
+    best = min(healthy, key=lambda upstream: costs[upstream.instance])
     ordered = sorted(costs.items(), key=lambda item: item[1])
     avoided = [item.instance for item in fit if item.instance not in costs]
     return Placement(
         best,
         reason,
         costs[best.instance],
-        candidates=tuple(ordered[:MAX_TOLD]),
-        avoided=tuple(avoided[:MAX_TOLD]),
+        candidates=tuple(ordered[:MAX_LOGGED_CANDIDATES]),
+        avoided=tuple(avoided[:MAX_LOGGED_CANDIDATES]),
     )
 
 
-def _prefer_sound(fit: list[FleetUpstream], now: float) -> list[FleetUpstream]:
-    """Return the upstreams without signs of trouble, or those with."""
-    sound = [upstream for upstream in fit if _is_sound(upstream, now)]
-    return sound or [item for item in fit if item.breaker.allows(now)] or fit
+def _prefer_healthy(
+    fit: list[FleetUpstream], now: float
+) -> list[FleetUpstream]:
+    """Return the healthy upstreams, or the others if there are none.
+
+    Of the others, those whose circuit breaker allows requests are preferred.
+    """
+    healthy = [upstream for upstream in fit if _is_healthy(upstream, now)]
+    return healthy or [item for item in fit if item.breaker.allows(now)] or fit
 
 
-def _is_sound(upstream: FleetUpstream, now: float) -> bool:
+def _is_healthy(upstream: FleetUpstream, now: float) -> bool:
     return upstream.breaker.allows(now) and not upstream.is_doubtful(now)
--- a/src/lifttrestle/internal/fleet/policy/recent_use.py
+++ b/src/lifttrestle/internal/fleet/policy/recent_use.py
@@ -10,23 +10,23 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""How much of a workspace's cap was used lately."""
+"""Moving average of the recent usage of a cap or limit."""
 
 import math
 
-# A group of which nothing was heard for so long is out of touch, or gone:
-# two reports of a router without work were lost.
+# A group without a report for this time is unreachable or gone: two reports of
+# an idle router were lost.
 SILENT_SECONDS = 0.6
-# Use is averaged over so long: callers come and go within some seconds.
-USE_SECONDS = 4.0
+# Time constant of the average: callers come and go within some seconds.
+AVERAGING_SECONDS = 4.0
 
 
 class RecentUse:
-    """Units a second, averaged over some seconds that are over.
+    """Exponential moving average of usage in units per second.
 
-    The last of them are left out for as long as it takes to notice that a
-    group is silent. Routers that lose each other then go by the same averages,
-    those of the time before, and their shares come to the whole.
+    The most recent usage is excluded for the time that it takes to detect a
+    silent group. Routers that lose contact then compute their shares from the
+    same averages, from before the loss, and the shares add up to the whole.
     """
 
     __slots__ = ('_at', '_began_at', '_before', '_units', '_value')
@@ -39,43 +39,43 @@
         self._before = 0.0
 
     def note(self, units: float, now: float) -> None:
-        """Count units that were used."""
-        self._turn(now)
+        """Record used units."""
+        self._rotate(now)
         self._units += units
 
     def set(self, value: float, now: float) -> None:
-        """Take over an average that another router made."""
+        """Adopt an average that another router computed."""
         self._value = value
         self._at = now
         self._units = self._before = 0.0
 
     def get(self, now: float) -> float:
-        """Return the average."""
-        self._turn(now)
+        """Return the average in units per second."""
+        self._rotate(now)
         if not self._value:
             return 0.0
-        return self._value * math.exp((self._at - now) / USE_SECONDS)
+        return self._value * math.exp((self._at - now) / AVERAGING_SECONDS)
 
-    def get_last(self, now: float) -> float:
-        """Return the units that are not in the average yet."""
-        self._turn(now)
+    def get_unaveraged(self, now: float) -> float:
+        """Return the recent units that the average does not include yet."""
+        self._rotate(now)
         passed = (now - self._began_at) / SILENT_SECONDS
         return max(self._units + self._before * (1.0 - passed), 0.0)
 
-    def _turn(self, now: float) -> None:
+    def _rotate(self, now: float) -> None:
         passed = now - self._began_at
         if passed < SILENT_SECONDS:
             return
-        self._fold(self._before, now)
+        self._add_to_average(self._before, now)
         self._before = self._units
         if passed >= 2 * SILENT_SECONDS:
-            self._fold(self._before, now)
+            self._add_to_average(self._before, now)
             self._before = 0.0
         self._units = 0.0
         self._began_at = now
 
-    def _fold(self, units: float, now: float) -> None:
+    def _add_to_average(self, units: float, now: float) -> None:
         if self._value:
-            self._value *= math.exp((self._at - now) / USE_SECONDS)
-        self._value = max(self._value + units / USE_SECONDS, 0.0)
+            self._value *= math.exp((self._at - now) / AVERAGING_SECONDS)
+        self._value = max(self._value + units / AVERAGING_SECONDS, 0.0)
         self._at = now
--- a/src/lifttrestle/internal/fleet/policy/retry_budget.py
+++ b/src/lifttrestle/internal/fleet/policy/retry_budget.py
@@ -10,10 +10,10 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Keeps the retries of all routers together within one budget.
+"""Retry budget that all routers share.
 
-No router asks another: each spends the share that its own requests earn, and
-its part of the slack, so that the sum stays within the whole.
+The routers do not coordinate: each spends the share earned by its own requests
+and its part of the slack, so that the total stays within the budget.
 """
 
 import collections
@@ -21,8 +21,8 @@
 from lifttrestle.internal.clock.clock import Clock
 from lifttrestle.internal.fleet.settings import Promises
 
-# Part of the allowance that is used: windows of routers do not coincide.
-SAFE_SHARE = 0.85
+# Usable fraction of the allowance, as the windows of the routers differ.
+USABLE_SHARE = 0.85
 
 
 class SharedRetryBudget:
@@ -35,28 +35,29 @@
         self._retries: collections.deque[float] = collections.deque()
 
     def note_request(self) -> None:
-        """Count a request of a caller."""
+        """Record a request of a caller."""
         self._requests.append(self._clock.monotonic())
 
     @property
     def spent(self) -> int:
-        """Return the retries that were spent in the window."""
+        """Return the number of retries in the window."""
         return len(self._retries)
 
     def has_room(self, live_routers: int) -> bool:
-        """Return whether a retry may be spent.
+        """Return whether the budget allows a retry.
 
-        :param live_routers: how many share the slack, counted high.
+        :param live_routers: upper estimate of the routers that share the
+            slack.
         """
         oldest = self._clock.monotonic() - self.promises.retry_window_seconds
         _drop_before(self._requests, oldest)
         _drop_before(self._retries, oldest)
         earned = self.promises.retry_share * len(self._requests)
         slack = self.promises.retry_slack / max(live_routers, 1)
-        return len(self._retries) + 1 <= SAFE_SHARE * (earned + slack)
+        return len(self._retries) + 1 <= USABLE_SHARE * (earned + slack)
 
     def take(self, live_routers: int) -> bool:
-        """Spend one retry; return False if none is left."""
+        """Spend a retry; return False if the budget is exhausted."""
         if not self.has_room(live_routers):
             return False
         self._retries.append(self._clock.monotonic())
--- a/src/lifttrestle/internal/fleet/policy/shared_level.py
+++ b/src/lifttrestle/internal/fleet/policy/shared_level.py
@@ -10,63 +10,68 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Decides how much of a workspace's cap one router may still give out.
-
-The load that it answers: one workspace sends several times what it may, over
-all routers at once, while the others stay far below their caps. A router
-knows what the others gave out up to the moment at which it last heard of
-them. From then on it takes each of them to use its share, so that the sum of
-all stays within the cap whoever is out of touch, and for how long: the shares
-of all routers come to the whole rate. Where all are in touch that is the use
-of some hundredths of a second, and any router may give out nearly all.
-
-Shares follow what was seen to be used; what nobody uses is split by the
-number of routers.
+"""Decides how much of the cap of a workspace one router may still use.
+
+A workspace may send several times its cap through all routers at once, while
+the others stay far below their caps. A router knows the usage of each other
+router up to its last report, and assumes from then on that it uses its share.
+The shares of all routers add up to the rate of the cap, so the total stays
+within the cap whichever routers are unreachable, and for however long. While
+all routers are in contact, only the usage of some hundredths of a second is
+assumed, and any router may use nearly the whole cap.
+
+Shares follow the observed usage; the unused rate is divided equally among the
+routers.
 """
 
 import dataclasses
 import math
 
 from lifttrestle.internal.fleet.policy.other_routers import OtherRouters
+from lifttrestle.internal.fleet.policy.recent_use import AVERAGING_SECONDS
 from lifttrestle.internal.fleet.policy.recent_use import RecentUse
 from lifttrestle.internal.fleet.policy.recent_use import SILENT_SECONDS
-from lifttrestle.internal.fleet.policy.recent_use import USE_SECONDS
 from lifttrestle.internal.fleet.policy.usage_caps import UsageCap
 
-# Refused callers are told times that lie so far apart at the most: what others
-# will use by then is a guess.
+# Retry times of refused callers are spread over this time at most, as the
+# usage of other routers by then can only be estimated.
 MAX_SPREAD_SECONDS = 5.0
-# Part of what can be saved up that is enough for a request of any size.
-FITTING_SHARE = 0.25
-# A refused caller is told no shorter time than this.
+# Fraction of the capacity that is sufficient for a request of any size.
+SUFFICIENT_SHARE = 0.25
+# Minimum retry time of a refused caller.
 MIN_RETRY_SECONDS = 0.05
 
 
 @dataclasses.dataclass(slots=True)
 class GroupUse:
-    """What a group is known or taken to use.
-
-    :ivar silent: it counts as out of touch.
-    :ivar part: of the rate that it is taken to use while it is silent.
-    :ivar unmet: it was never heard of.
-    :ivar fell_at: since when it counts as out of touch.
-    :ivar assumed: units that were counted for it since it fell silent.
+    """Known or assumed usage of a group of routers.
+
+    :ivar use: usage reported by the group.
+    :ivar silent: the group has not reported for ``SILENT_SECONDS``.
+    :ivar never_heard: the group had never reported when it became silent.
+    :ivar silent_since: when it became silent, monotonic seconds.
+    :ivar assumed_share: fraction of the rate that it is assumed to use while
+        it is silent.
+    :ivar assumed_units: units charged for it since it became silent and not
+        reported yet.
     """
 
     use: RecentUse = dataclasses.field(default_factory=RecentUse)
     silent: bool = False
-    unmet: bool = False
-    fell_at: float = 0.0
-    part: float = 0.0
-    assumed: float = 0.0
+    never_heard: bool = False
+    silent_since: float = 0.0
+    assumed_share: float = 0.0
+    assumed_units: float = 0.0
 
 
 class SharedLevel:
-    """What is left of one workspace's cap, as one router knows it.
+    """Token bucket for the cap of one workspace, as one router knows it.
+
+    A request is within the cap if its units are available. A request larger
+    than ``SUFFICIENT_SHARE`` of the capacity needs only that share and takes
+    the level below zero, as it might never be served otherwise.
 
-    A request is within the cap if it fits into what is left. One that is
-    larger than a part of what can be saved up has to wait for that part only,
-    and takes the level below zero: it would never be served otherwise.
+    :ivar level: available units, negative after a large request.
     """
 
     def __init__(
@@ -78,36 +83,36 @@
         self.own_use = RecentUse()
         self._groups: dict[str, GroupUse] = {}
         self._at = now
-        self._promised_until = now
+        self._next_retry_at = now
 
     def set_cap(self, cap: UsageCap) -> None:
-        """Go by another cap; a larger burst has to be saved up first."""
+        """Replace the cap; a larger burst has to accumulate first."""
         self.cap = cap
         self.level = min(self.level, cap.capacity)
 
     def set_others(self, others: OtherRouters) -> None:
-        """Go by other groups of routers."""
+        """Replace the groups of other routers."""
         self.others = others
         for name in [name for name in self._groups if name not in others]:
             del self._groups[name]
 
     def set_use(self, name: str, use: float, now: float) -> None:
-        """Take over what another router knows of a group's use."""
+        """Set the average usage of a group as known by another router."""
         self._groups.setdefault(name, GroupUse()).use.set(use, now)
 
     def get_total_use(self, now: float) -> float:
-        """Return the units a second that all routers use."""
+        """Return the usage of all routers in units per second."""
         return self.own_use.get(now) + sum(
             group.use.get(now) for group in self._groups.values()
         )
 
     def find_own_share(self, now: float) -> float:
-        """Return the units a second that are this router's."""
+        """Return the share of this router in units per second."""
         free, scale = self._split(now)
         return (self.own_use.get(now) + free) * scale
 
     def _split(self, now: float) -> tuple[float, float]:
-        """Return the unused rate for each router, and how use is scaled."""
+        """Return the unused rate per router and the scale of the usage."""
         total = self.get_total_use(now)
         rate = self.cap.rate
         if total <= rate:
@@ -115,11 +120,11 @@
         return 0.0, rate / total
 
     def advance(self, now: float) -> None:
-        """Add what time has allowed, less what silent groups may use."""
+        """Refill the bucket, less the assumed usage of silent groups."""
         seconds = max(now - self._at, 0.0)
         self._at = now
         silent = self.others.list_silent(now)
-        self._meet_again(silent, now)
+        self._resume_groups(silent, now)
         rate = self.cap.rate
         if self.others.summed:
             rate -= sum(
@@ -127,78 +132,82 @@
                 for group in self._groups.values()
                 if not group.silent
             )
-        fallen = []
+        newly_silent = []
         for name in silent:
             group = self._groups.setdefault(name, GroupUse())
             if group.silent:
-                group.assumed += seconds * group.part * self.cap.rate
-                rate -= group.part * self.cap.rate
+                group.assumed_units += (
+                    seconds * group.assumed_share * self.cap.rate
+                )
+                rate -= group.assumed_share * self.cap.rate
             else:
-                fallen.append((name, group))
+                newly_silent.append((name, group))
         self.level = min(
             self.level + max(rate, 0.0) * seconds, self.cap.capacity
         )
-        for name, group in fallen:
-            rate -= self._assume(name, group, rate, now)
+        for name, group in newly_silent:
+            rate -= self._assume_use(name, group, rate, now)
 
-    def _meet_again(self, silent: frozenset[str], now: float) -> None:
-        """Go by what those tell that were out of touch, and are no more."""
+    def _resume_groups(self, silent: frozenset[str], now: float) -> None:
+        """Resume the groups that were silent and report again."""
         unused = []
         for name, group in self._groups.items():
             if group.silent and name not in silent:
-                self._meet(group, now)
-                if not group.assumed and not group.use.get(now):
+                self._resume(group, now)
+                if not group.assumed_units and not group.use.get(now):
                     unused.append(name)
         for name in unused:
-            # Of a large fleet most routers use nothing of most workspaces.
+            # In a large fleet, most routers do not serve most workspaces.
             del self._groups[name]
 
-    def _meet(self, group: GroupUse, now: float) -> None:
-        """Go by what a group tells from now on.
+    def _resume(self, group: GroupUse, now: float) -> None:
+        """Use the reports of a group again.
 
-        What was assumed while it was out of touch is not given back: it may
-        have been used. One that is first met while this process starts was in
-        touch all the time, and what it used is told.
+        Units charged while it was silent are not returned, as they may have
+        been used. A group that is first heard while this process starts was
+        never out of contact and reports its usage, so its units are returned.
         """
         group.silent = False
-        if group.unmet and now - group.fell_at <= SILENT_SECONDS:
-            self.level += group.assumed
-            group.assumed = 0.0
-        group.unmet = False
+        if group.never_heard and now - group.silent_since <= SILENT_SECONDS:
+            self.level += group.assumed_units
+            group.assumed_units = 0.0
+        group.never_heard = False
 
-    def _assume(
+    def _assume_use(
         self, name: str, group: GroupUse, rate: float, now: float
     ) -> float:
-        """Take a group that fell silent to use its share, and return that.
+        """Assume that a silent group uses its share; return the share.
 
-        :param rate: less the shares of those that fell silent before.
+        :param rate: rate of the cap less the shares of groups that became
+            silent before.
+        :returns: the share in units per second.
         """
         free, scale = self._split(now)
-        routers = self.others.get_routers(name)
+        routers = self.others.get_router_count(name)
         group.silent = True
-        group.fell_at = now
+        group.silent_since = now
         share = (group.use.get(now) + free * routers) * scale
-        group.part = share / self.cap.rate
+        group.assumed_share = share / self.cap.rate
         age = self.others.get_age(name, now)
-        group.unmet = math.isinf(age)
-        # It may use its part of what all had when it was last heard of, and
-        # this router has used of its own part since.
-        own = self.own_use.get_last(now)
+        group.never_heard = math.isinf(age)
+        # The group may use its share of the level at the time of its last
+        # report, of which this router has used its own share since.
+        own = self.own_use.get_unaveraged(now)
         saved = min(self.level + own, self.cap.capacity)
         used = 0.0
-        if saved < self.cap.capacity and not group.unmet:
+        if saved < self.cap.capacity and not group.never_heard:
             used = group.use.get(now) * scale * SILENT_SECONDS
-        part = min(share / rate, 1.0) if rate > 0 else 1.0
-        used += max(saved - used, 0.0) * part
-        group.assumed += used
+        portion = min(share / rate, 1.0) if rate > 0 else 1.0
+        used += max(saved - used, 0.0) * portion
+        group.assumed_units += used
         self.level -= used
         return share
 
     def get_left(self, now: float) -> float:
-        """Return what may be given out, less what others may be using."""
+        """Return the available units, less unreported usage of others."""
         self.advance(now)
         free, scale = self._split(now)
-        pending = free * self.others.get_pending(now)
+        pending = free * self.others.get_unreported_seconds(now)
         for name, group in self._groups.items():
             if not group.silent:
                 age = self.others.get_age(name, now)
@@ -206,69 +215,75 @@
         return self.level - pending
 
     def find_shortfall(self, units: float, left: float) -> float:
-        """Return the units by which a request is over the cap, or zero.
+        """Return the units by which a request exceeds the cap, or zero.
 
-        :param left: as ``get_left`` has just told it.
+        :param units: units of the request.
+        :param left: current result of ``get_left``.
         """
-        # Of a small part a small one is enough.
-        part = self._find_refill() / self.cap.rate
-        needed = min(units, FITTING_SHARE * self.cap.capacity * part)
+        # If silent groups reduce the refill, less is sufficient.
+        refill_share = self._find_refill() / self.cap.rate
+        needed = min(
+            units, SUFFICIENT_SHARE * self.cap.capacity * refill_share
+        )
         return max(needed - left, 0.0)
 
     def note_elsewhere(self, name: str, units: float, now: float) -> None:
-        """Count what a group has used, unless it was assumed already."""
+        """Record usage of a group, less the units charged for it already."""
         self.advance(now)
         group = self._groups.setdefault(name, GroupUse())
         group.use.note(units, now)
-        covered = min(group.assumed, units)
-        group.assumed -= covered
-        self._lower(units - covered)
+        covered = min(group.assumed_units, units)
+        group.assumed_units -= covered
+        self._consume(units - covered)
 
     def adopt(self, level: float) -> None:
-        """Go by what a router tells that has added up for longer."""
+        """Adopt the level of a router that has run for longer, if lower."""
         for group in self._groups.values():
-            if group.unmet:
-                self.level += group.assumed
-                group.assumed = 0.0
+            if group.never_heard:
+                self.level += group.assumed_units
+                group.assumed_units = 0.0
         self.level = min(self.level, level)
 
     def get_assumed(self, name: str) -> float:
-        """Return the units that were counted for a group without a word."""
+        """Return the units charged for a group that it has not reported."""
         group = self._groups.get(name)
-        return group.assumed if group is not None else 0.0
+        return group.assumed_units if group is not None else 0.0
 
     def take(self, units: float, now: float) -> None:
-        """Count units that this router gives out; below zero, gives back."""
+        """Use units of this router; a negative number returns units."""
         self.advance(now)
         self.own_use.note(units, now)
-        self._lower(units)
+        self._consume(units)
 
-    def _lower(self, units: float) -> None:
-        # What was used longer ago than a few seconds binds nobody.
-        floor = -max(self.cap.capacity, USE_SECONDS * self.cap.rate)
+    def _consume(self, units: float) -> None:
+        # Usage from more than a few seconds ago does not count.
+        floor = -max(self.cap.capacity, AVERAGING_SECONDS * self.cap.rate)
         self.level = min(max(self.level - units, floor), self.cap.capacity)
 
     def find_retry_seconds(
         self, units: float, missing: float, now: float
     ) -> float:
-        """Return when a refused caller finds room at routers like this one.
+        """Return the seconds after which a refused caller should retry.
 
-        Callers that are refused one after the other are told times one after
-        the other, as this router's share lets them in.
+        Consecutive refused callers get consecutive times, spaced by the share
+        of this router.
 
-        :param missing: units by which the request is over the cap.
+        :param units: units of the request.
+        :param missing: units by which the request exceeds the cap.
         """
         room = now + missing / max(self._find_refill(), 1e-9)
-        begin = max(self._promised_until, room)
+        begin = max(self._next_retry_at, room)
         if begin > room + MAX_SPREAD_SECONDS:
             begin = room
         share = max(self.find_own_share(now), 1e-9)
-        self._promised_until = begin + units / share
+        self._next_retry_at = begin + units / share
         return max(begin - now, MIN_RETRY_SECONDS)
 
     def _find_refill(self) -> float:
-        """Return the rate, less what silent groups are taken to use."""
+        """Return the rate less the assumed usage of silent groups."""
         silent = sum(
-            group.part for group in self._groups.values() if group.silent
+            group.assumed_share
+            for group in self._groups.values()
+            if group.silent
         )
         return self.cap.rate * max(1.0 - silent, 0.0)
--- a/src/lifttrestle/internal/fleet/policy/shedding.py
+++ b/src/lifttrestle/internal/fleet/policy/shedding.py
@@ -10,45 +10,46 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Decides whether a request is refused rather than sent to wait.
+"""Load shedding: decides whether a request is refused rather than queued.
 
-The load that this answers: engines are fewer than their work for some
-seconds, after a change of weights or a crash. To join a queue that is already
-too long makes a request late, and all that follow it as well.
+After a change of weights or a crash, the engines lack capacity for some
+seconds. A request that joins a queue that is already too long is late, and
+delays all that follow it.
 """
 
 import dataclasses
 
-# A request is refused when its first piece is expected to take more than this
-# share of its objective wherever it is sent, on its first try or a later one.
-# Below one, as what other routers send meanwhile comes before it. Played at
-# 1.27 times what five engines can read, 0.79 of the callers are answered in
-# time, and 0.11 where 1.6 objectives were waited for and half of the time left
-# of those that came back: their work made all others late
-# (tests/cover/test_played_load.py). Below what the engines can read nobody is
-# refused either way.
-SHED_TARGETS = 0.8
-# A prompt that alone takes longer than that to read is late at an idle engine,
-# too. It is served while the queue before it is shorter than this share of its
-# objective, or it would be refused for ever.
-LONG_PROMPT_QUEUE_TARGETS = 0.25
+# A request, first attempt or retry, is refused if its time to first token is
+# expected to exceed this fraction of its objective at every engine. The
+# fraction is below one as requests of other routers may be queued before it.
+# In a simulation at 1.27 times the prefill capacity of five engines, 0.79 of
+# the requests are answered in time; with a limit of 1.6 objectives, and half
+# of the remaining time for retries, it was 0.11, as their work made all others
+# late (tests/cover/test_played_load.py). Below the prefill capacity, neither
+# limit refuses a request.
+SHED_TARGET_SHARE = 0.8
+# A prompt whose prefill alone exceeds that limit is late even at an idle
+# engine. It is served if the queue before it is at most this fraction of its
+# objective, as it would be refused forever otherwise.
+LONG_PROMPT_QUEUE_SHARE = 0.25
 MIN_RETRY_SECONDS = 0.4
 MAX_RETRY_SECONDS = 1.0
-# Without an upstream that may serve it, a request that nobody was offered yet
-# is held for this share of its objective from its arrival, and then refused:
-# what a caller waits for in vain it can't spend elsewhere.
-HELD_TARGETS = 1 / 8
-# One that an upstream has turned away or lost is held longer, and at most that
-# share of its time: engines that load are back within about a second.
+# A request that was not sent to any upstream yet and that none can serve is
+# held for this fraction of its objective from its arrival, and then refused,
+# so that the caller has time left to try elsewhere.
+HELD_TARGET_SHARE = 1 / 8
+# A request that an upstream rejected or lost is held longer, but at most for
+# this fraction of the remaining time: engines that load weights are available
+# again within about a second.
 MAX_HELD_SECONDS = 0.8
 HELD_SHARE = 0.2
 
 
 @dataclasses.dataclass(frozen=True)
 class ShedDecision:
-    """A request is refused.
+    """Decision to refuse a request.
 
-    :ivar limit: seconds that it would have been let wait.
+    :ivar limit: maximum expected time to first token, in seconds.
     :ivar retry_after: seconds after which the queue should be short enough.
     """
 
@@ -59,17 +60,18 @@
 def decide_shedding(
     expected: float, queue: float, target: float
 ) -> ShedDecision | None:
-    """Return how a request is refused, or None if it is to be sent.
+    """Return how a request is refused, or None if it should be sent.
 
-    :param expected: seconds until its first piece at the best engine.
-    :param queue: of these, until its own prompt is read.
-    :param target: its objective for the first piece, in seconds.
+    :param expected: expected time to first token at the best engine, in
+        seconds.
+    :param queue: part of it until prefill of the prompt begins, in seconds.
+    :param target: objective for the time to first token, in seconds.
     """
-    limit = SHED_TARGETS * target
+    limit = SHED_TARGET_SHARE * target
     if expected <= limit:
         return None
     alone = expected - queue
-    if alone > limit and queue <= LONG_PROMPT_QUEUE_TARGETS * target:
+    if alone > limit and queue <= LONG_PROMPT_QUEUE_SHARE * target:
         return None
     excess = expected - limit
     return ShedDecision(
@@ -82,11 +84,13 @@
 ) -> float:
     """Return until when a request may wait for an upstream.
 
-    :param started: when it arrived, monotonic seconds as the result.
-    :param target: its objective in seconds.
-    :param left: of the caller's time, in seconds.
-    :param offered: it was sent to an upstream before.
+    :param started: arrival of the request, monotonic seconds.
+    :param now: current time, monotonic seconds.
+    :param target: objective for the time to first token, in seconds.
+    :param left: remaining time of the caller, in seconds.
+    :param offered: the request was sent to an upstream before.
+    :returns: monotonic seconds.
     """
     if not offered:
-        return started + HELD_TARGETS * target
+        return started + HELD_TARGET_SHARE * target
     return now + min(MAX_HELD_SECONDS, left * HELD_SHARE)
--- a/src/lifttrestle/internal/fleet/policy/stopping.py
+++ b/src/lifttrestle/internal/fleet/policy/stopping.py
@@ -10,27 +10,29 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Decides which requests a router takes that was told to stop.
+"""Decides which requests a stopping router still accepts.
 
-The balancer goes on sending it connections for some seconds, and callers use
-those that they have. What it takes has to end before the process does; what
-may not is refused at once, as not run, so that another router serves it.
+The load balancer continues to send connections for some seconds, and callers
+reuse open ones. Accepted requests must finish before the process exits; those
+that might not are refused at once as not executed, so that another router
+serves them.
 """
 
-# When a refused caller may come back: another router can serve it at once.
+# Retry time of a refused caller: another router can serve it at once.
 STOPPING_RETRY_SECONDS = 0.01
 
 
 def can_finish_in_time(limit: float, left: float) -> bool:
-    """Return whether a request that is begun now ends before its router.
+    """Return whether a request that starts now finishes before the router.
 
-    Its time limit is all that bounds it. How long others of its route lasted
-    is a guess: with the longest of the last hundred and a quarter more, six of
-    twenty seeded runs of stops cut streams that were taken after the signal,
-    while it served no more callers (share served where one router stops every
-    four seconds: 0.984 with the guess, 0.983 without, nine runs each).
+    Only the time limit bounds the duration of a request. An estimate from
+    earlier requests of the route is not reliable: with the longest of the last
+    hundred plus a quarter, six of twenty seeded runs cut streams that were
+    accepted after the stop signal, without serving more requests (fraction
+    served with a router stopping every four seconds: 0.984 with the estimate,
+    0.983 without, nine runs each).
 
-    :param limit: seconds after which it is given up in any case.
-    :param left: seconds within which it has to have ended.
+    :param limit: time limit of the request, in seconds.
+    :param left: seconds within which it must have finished.
     """
     return limit <= left
--- a/src/lifttrestle/internal/fleet/policy/tell_pacing.py
+++ b/src/lifttrestle/internal/fleet/policy/tell_pacing.py
@@ -10,73 +10,78 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Decides how often a router tells the others of its loads.
+"""Rate limiting of load reports between routers.
 
-A long prompt keeps its engine busy for some tenths of a second. Told of at
-the next regular report it was known too late: other routers had chosen the
-same engine meanwhile. It is told of at once, within a rate that is bounded by
-what each router hears from all the others.
+A long prompt occupies its engine for some tenths of a second. If it were
+reported with the next regular report, other routers would choose the same
+engine in the meantime. It is reported at once instead, at a rate bounded by
+the number of reports that each router receives from all others.
 """
 
 from lifttrestle.internal.clock.clock import Clock
 
-# Requests last for some hundred ms; older counts say little.
+# Period of regular reports. Requests last some hundred ms, so older counts are
+# of little use.
 REPORT_SECONDS = 0.15
-# Each router hears so many reports a second at the most, some 60 us of
-# processor time each: 1.5% of a core (docs/design/platform.md).
+# Maximum number of reports that each router receives per second, each about
+# 60 us of CPU time: 1.5% of a core (docs/design/platform.md).
 MAX_REPORT_RATE = 250
-# Questions for the sum of all loads that one router may get from all others,
-# 0.24 ms of processor time each (benchmarks/decisions.py). 33 routers that get
-# 68 streams a second ask as often.
+# Maximum number of queries per second for the sum of all loads that a router
+# receives from all others, each 0.24 ms of CPU time (benchmarks/decisions.py).
+# 33 routers that receive 68 streams a second send about as many.
 MAX_QUERY_RATE = 400
-# Reports that may be sent one after the other, of what a second allows.
+# Capacity of the token bucket: reports that may be sent at once.
 BURST = 3.0
-# In a large fleet the regular reports take two fifths of what may be heard,
-# and the rest is for changes, as long as there is one a second: of 100 routers
-# and more the regular ones take a growing part, of 250 all.
-REGULAR_PERIODS = 2.5
+# In a large fleet, regular reports use two fifths of the maximum rate and the
+# rest is for changes. As there is at least one regular report a second, they
+# use a growing part from 100 routers on, and all of it with 250.
+REGULAR_PERIOD_FACTOR = 2.5
 MAX_REGULAR_SECONDS = 1.0
 
 
 class ReportPacer:
-    """A token bucket for one router's reports.
+    """Token bucket for the reports of one router.
 
-    :param heard_per_second: from all routers together, by any of them.
+    :param max_rate: reports per second that a router receives from all others
+        together.
     """
 
     def __init__(
-        self, clock: Clock, heard_per_second: float = MAX_REPORT_RATE
+        self, clock: Clock, max_rate: float = MAX_REPORT_RATE
     ) -> None:
         self._clock = clock
-        self._heard_per_second = heard_per_second
+        self._max_rate = max_rate
         self._tokens = BURST
         self._filled_at = clock.monotonic()
 
     def get_regular_seconds(self, routers: int) -> float:
-        """Return the time between two reports without a change."""
-        period = routers / self._heard_per_second
-        spread = min(period * REGULAR_PERIODS, MAX_REGULAR_SECONDS)
+        """Return the period of regular reports in seconds.
+
+        :param routers: number of routers that send reports.
+        """
+        period = routers / self._max_rate
+        spread = min(period * REGULAR_PERIOD_FACTOR, MAX_REGULAR_SECONDS)
         return max(REPORT_SECONDS, period, spread)
 
     def take(self, routers: int) -> float:
-        """Spend a report; return after how many seconds it may be sent."""
-        rate = self._fill(routers)
-        # Below zero for one that is sent later.
+        """Take a token; return the seconds until the report may be sent."""
+        rate = self._refill(routers)
+        # Negative for a report that is sent later.
         self._tokens -= 1.0
         return max(-self._tokens, 0.0) / rate
 
     def try_take(self, routers: int) -> bool:
-        """Spend a report if it may be sent now; return whether it may."""
-        self._fill(routers)
+        """Take a token if one is available; return whether it was."""
+        self._refill(routers)
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
         return True
 
-    def _fill(self, routers: int) -> float:
-        """Add what the time since has allowed; return that for a second."""
+    def _refill(self, routers: int) -> float:
+        """Refill the bucket; return the refill rate per second."""
         now = self._clock.monotonic()
-        rate = self._heard_per_second / max(routers, 1)
+        rate = self._max_rate / max(routers, 1)
         filled = self._tokens + (now - self._filled_at) * rate
         self._tokens = min(filled, BURST)
         self._filled_at = now
--- a/src/lifttrestle/internal/fleet/policy/usage_caps.py
+++ b/src/lifttrestle/internal/fleet/policy/usage_caps.py
@@ -10,23 +10,23 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""What a workspace may use, over all routers together."""
+"""Usage caps of workspaces, over all routers together."""
 
 import dataclasses
 import enum
 
 from lifttrestle.internal.fleet.settings import Promises
 
-# Part of what a window may hold beyond the cap that a process may give out
-# before it has heard from another. All may have been killed in the moment in
-# which a whole burst had just been used, and in a fleet that is split each of
-# those that start one after the other in a window has its part of it; the rest
-# is for what routers use without each other's knowledge.
+# Fraction of the tolerated excess of a window that a process may use before it
+# has heard from another. All routers may have been killed just after a whole
+# burst was used, and in a partitioned fleet each process that starts within a
+# window uses this fraction; the rest covers usage that routers have not yet
+# reported to each other.
 START_SHARE = 0.25
 
 
 class UsageUnit(enum.Enum):
-    """What a cap counts."""
+    """Unit of a cap."""
 
     REQUESTS = 'requests'
     TOKENS = 'tokens'
@@ -34,12 +34,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class UsageCap:
-    """What a workspace may use, over all routers together.
+    """Usage cap of a workspace, over all routers together.
 
-    :ivar rate: units a second, above zero.
-    :ivar burst: units that can be saved up.
+    :ivar rate: units per second, above zero.
+    :ivar burst: units that can accumulate.
     :ivar unit: what is counted.
-    :ivar default_units: of a request that tells no number of tokens.
+    :ivar default_units: units of a request without a token count.
     """
 
     rate: float
@@ -48,10 +48,10 @@
     default_units: float = 0.0
 
     def count_units(self, tokens: int | None) -> float:
-        """Return what one request counts.
+        """Return the units of one request.
 
-        :param tokens: of its prompt and the most that it may generate, or
-            None if it does not tell them.
+        :param tokens: prompt tokens plus the maximum number of generated
+            tokens, or None if the request does not specify them.
         """
         if self.unit is UsageUnit.REQUESTS:
             return 1.0
@@ -59,11 +59,11 @@
 
     @property
     def capacity(self) -> float:
-        """Return what can be saved up; without a burst one unit."""
+        """Return the units that can accumulate, at least one."""
         return max(self.burst, 1.0)
 
     def get_start_level(self, promises: Promises) -> float:
-        """Return what a process may give out before it knows of others."""
+        """Return the units for a process that has not heard of others."""
         window = self.rate * promises.cap_window_seconds + self.burst
         spare = promises.cap_over_share * window + promises.cap_slack
         return min(self.capacity, START_SHARE * spare)
--- a/src/lifttrestle/internal/fleet/policy/weights_fit.py
+++ b/src/lifttrestle/internal/fleet/policy/weights_fit.py
@@ -10,13 +10,14 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Decides which engines may begin a generation, by the weights they hold."""
+"""Selects the engines whose weights are recent enough for a generation."""
 
 from lifttrestle.internal.fleet.state.operator_view import WantedWeights
 from lifttrestle.internal.fleet.state.upstream import FleetUpstream
 
-# Nothing begins on weights that were replaced longer ago than this share of
-# the time that operators allow; the rest is for a request on its way.
+# No generation starts on weights that were replaced longer ago than this
+# fraction of the time that operators allow; the rest is for requests in
+# transit.
 OLD_WEIGHTS_SHARE = 0.85
 
 
@@ -27,15 +28,16 @@
     now: float,
     weights_seconds: float,
 ) -> list[FleetUpstream]:
-    """Return the engines that may begin a generation now.
+    """Return the engines that may start a generation now.
 
-    :param wanted: the model's newest weights, None if none were named.
-    :param weights_seconds: after which none may begin on replaced weights.
+    :param wanted: newest weights of the model, None if none were specified.
+    :param weights_seconds: time after which no generation may start on
+        replaced weights.
     """
     loaded = [item for item in engines if model in item.weights]
     idle = [item for item in loaded if item.busy_until <= now]
-    # An engine that loads turns requests away at once; when all do, one of
-    # them may have ended, or may not have had its order.
+    # An engine rejects requests at once while it loads weights. If all engines
+    # seem to load, one may have finished, or not have received its order.
     idle = idle or loaded
     if wanted is None:
         return idle
