--- a/tests/cover/test_decisions.py
+++ b/tests/cover/test_decisions.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Decisions of a fleet's router: plain data in, plain data out."""
+"""Tests of load shedding, loading of weights and weight selection."""
 
 import unittest
 
@@ -42,8 +42,8 @@
         self.assertEqual(shedding.retry_after, MAX_RETRY_SECONDS)
 
     def test_regression_longest_prompts_are_served_where_nothing_waits(self):
-        # One of 40,000 tokens takes 1.2 s to read: it was refused by idle
-        # engines, however often its caller came back.
+        # A prompt of 40,000 tokens takes 1.2 s to compute. It was refused
+        # even with idle engines, on every retry.
         self.assertIsNone(decide_shedding(1.23, 0.0, 0.6))
         self.assertIsNone(decide_shedding(1.38, 0.15, 0.6))
         self.assertIsNotNone(decide_shedding(1.43, 0.2, 0.6))
@@ -51,7 +51,7 @@
 
 class TestHolding(unittest.TestCase):
     def test_nothing_is_held_past_an_eighth_of_its_objective(self):
-        # It was held for 0.8 s, and then refused.
+        # Requests were held for 0.8 s before they were refused.
         end = find_hold_end(10.0, 10.03, 0.4, 15.0, offered=False)
         self.assertAlmostEqual(end, 10.05)
 
@@ -74,7 +74,7 @@
         self.engines[0].reach.note_unreached()
         self.assertEqual(count_loadable(self.engines, 5.0), 1)
         self.engines[1].reach.note_unreached()
-        # One always may, or nothing newer would ever be loaded.
+        # One engine may always load, or new weights would never be loaded.
         self.assertEqual(count_loadable(self.engines, 5.0), 1)
 
     def test_oldest_then_idle_engines_are_first(self):
--- a/tests/cover/test_fleet_placement.py
+++ b/tests/cover/test_fleet_placement.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Tests of the choice of an engine and of where cached parts are kept."""
+"""Tests of engine placement, engine pace and the KV cache store."""
 
 import random
 import unittest
@@ -77,9 +77,9 @@
         self.assertEqual(placement.avoided, (home.instance,))
 
     def test_regression_engine_without_a_free_slot_is_avoided(self):
-        # With twelve slots an engine, 588 of 7,333 requests were turned away
-        # by full ones while others had room (quiet-1 of the grown site of
-        # sofia-chimes).
+        # With twelve slots per engine, 588 of 7,333 requests were rejected by
+        # full engines while others had free slots (quiet-1 of the grown site
+        # of sofia-chimes).
         salt = build_salt('shared', 'm', 1)
         self.parts.note_read(salt, GENERATION.shared, 0.0)
         home = self.place().upstream
@@ -97,14 +97,14 @@
         self.assertIsNot(self.choose(), home)
 
     def test_part_that_was_read_is_not_read_again(self):
-        cold = self.place()
+        uncached = self.place()
         salt = build_salt('shared', 'm', 1)
         self.parts.note_read(salt, GENERATION.shared, 0.0)
-        warm = self.place()
-        self.assertEqual(cold.unread_tokens, 4600)
-        self.assertEqual(warm.unread_tokens, 600)
+        cached = self.place()
+        self.assertEqual(uncached.unread_tokens, 4600)
+        self.assertEqual(cached.unread_tokens, 600)
         self.assertAlmostEqual(
-            cold.expected_seconds - warm.expected_seconds,
+            uncached.expected_seconds - cached.expected_seconds,
             4000 * PRIOR_READ_SECONDS,
         )
 
@@ -117,7 +117,7 @@
 
 
 class TestConnections(DirectoryCase):
-    """An upstream to which a connection is kept is a little nearer."""
+    """Upstreams with an idle connection are slightly cheaper."""
 
     def setUp(self):
         super().setUp()
@@ -169,8 +169,9 @@
 
 class TestPace(unittest.TestCase):
     def test_pace_is_that_of_the_answers(self):
-        # 17 microseconds a token were expected and 30 seen, so first pieces
-        # came half as late again as expected (median of 2,540 answers).
+        # 17 microseconds per token were assumed and 30 observed, so the time
+        # to first token was half as long again as expected (median of 2,540
+        # answers).
         pace = EnginePace()
         for seconds in (0.15, 0.149, 0.151, 0.9, 0.15) * 4:
             pace.note_answer(0, 4000, seconds)
--- a/tests/cover/test_limit_belief.py
+++ b/tests/cover/test_limit_belief.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Tests of what is believed of an upstream's limit."""
+"""Tests of the limit that a router derives from answers of an upstream."""
 
 import unittest
 
@@ -19,58 +19,58 @@
 from lifttrestle.internal.fleet.policy.limit_belief import LimitObservation
 
 
-def note(belief, rate, begin, end):
+def observe(belief, rate, begin, end):
     return belief.update(LimitObservation(rate, begin, end))
 
 
 class TestBelief(unittest.TestCase):
     def test_limit_counts_from_the_first_answer_that_names_it(self):
         belief = LimitBelief()
-        self.assertIs(note(belief, None, 0.0, 1.0), LimitChange.NOTHING)
-        self.assertIs(note(belief, 1.2, 0.5, 0.9), LimitChange.LEARNT)
+        self.assertIs(observe(belief, None, 0.0, 1.0), LimitChange.NOTHING)
+        self.assertIs(observe(belief, 1.2, 0.5, 0.9), LimitChange.LEARNT)
         self.assertEqual(belief.rate, 1.2)
 
     def test_answer_from_before_it_was_named_does_not_end_it(self):
         belief = LimitBelief()
-        note(belief, 1.2, 1.0, 2.0)
-        self.assertIs(note(belief, None, 1.9, 5.0), LimitChange.NOTHING)
+        observe(belief, 1.2, 1.0, 2.0)
+        self.assertIs(observe(belief, None, 1.9, 5.0), LimitChange.NOTHING)
         self.assertEqual(belief.rate, 1.2)
 
     def test_answer_to_what_was_sent_later_ends_it(self):
         belief = LimitBelief()
-        note(belief, 1.2, 1.0, 2.0)
-        self.assertIs(note(belief, None, 2.0, 3.0), LimitChange.ENDED)
+        observe(belief, 1.2, 1.0, 2.0)
+        self.assertIs(observe(belief, None, 2.0, 3.0), LimitChange.ENDED)
         self.assertIsNone(belief.rate)
 
     def test_answer_in_flight_while_it_ended_does_not_bring_it_back(self):
         belief = LimitBelief()
-        note(belief, 1.2, 1.0, 2.0)
-        note(belief, None, 2.5, 3.0)
-        self.assertIs(note(belief, 1.2, 2.9, 6.0), LimitChange.NOTHING)
+        observe(belief, 1.2, 1.0, 2.0)
+        observe(belief, None, 2.5, 3.0)
+        self.assertIs(observe(belief, 1.2, 2.9, 6.0), LimitChange.NOTHING)
         self.assertIsNone(belief.rate)
-        self.assertIs(note(belief, 0.4, 3.0, 3.5), LimitChange.LEARNT)
+        self.assertIs(observe(belief, 0.4, 3.0, 3.5), LimitChange.LEARNT)
 
     def test_lower_limit_counts_if_it_may_be_newer(self):
         belief = LimitBelief()
-        note(belief, 5.0, 1.0, 3.0)
-        self.assertIs(note(belief, 1.0, 2.0, 2.5), LimitChange.CHANGED)
+        observe(belief, 5.0, 1.0, 3.0)
+        self.assertIs(observe(belief, 1.0, 2.0, 2.5), LimitChange.CHANGED)
         self.assertEqual(belief.rate, 1.0)
 
     def test_higher_limit_counts_if_it_surely_is_newer(self):
         belief = LimitBelief()
-        note(belief, 1.0, 1.0, 3.0)
-        self.assertIs(note(belief, 5.0, 2.0, 4.0), LimitChange.NOTHING)
-        self.assertIs(note(belief, 5.0, 3.0, 4.0), LimitChange.CHANGED)
+        observe(belief, 1.0, 1.0, 3.0)
+        self.assertIs(observe(belief, 5.0, 2.0, 4.0), LimitChange.NOTHING)
+        self.assertIs(observe(belief, 5.0, 3.0, 4.0), LimitChange.CHANGED)
 
     def test_older_word_of_a_lower_limit_is_passed_over(self):
         belief = LimitBelief()
-        note(belief, 5.0, 2.0, 3.0)
-        self.assertIs(note(belief, 1.0, 0.5, 1.9), LimitChange.NOTHING)
+        observe(belief, 5.0, 2.0, 3.0)
+        self.assertIs(observe(belief, 1.0, 0.5, 1.9), LimitChange.NOTHING)
 
     def test_same_word_in_any_order_changes_nothing(self):
         belief = LimitBelief()
-        note(belief, 1.0, 1.0, 3.0)
+        observe(belief, 1.0, 1.0, 3.0)
         for begin in (0.0, 1.0, 2.5, 4.0):
-            change = note(belief, 1.0, begin, begin + 1.0)
+            change = observe(belief, 1.0, begin, begin + 1.0)
             self.assertIs(change, LimitChange.NOTHING)
-        self.assertIs(note(belief, None, 4.9, 6.0), LimitChange.NOTHING)
+        self.assertIs(observe(belief, None, 4.9, 6.0), LimitChange.NOTHING)
--- a/tests/cover/test_limit_permits.py
+++ b/tests/cover/test_limit_permits.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Tests of the permits that one router gives for an upstream."""
+"""Tests of the permits that one router issues for an upstream."""
 
 import unittest
 
@@ -20,20 +20,20 @@
 
 WINDOW_SECONDS = 4.0
 STEP_SECONDS = 0.01
-NEEDY = rank_request(5, has_others=False, repeated=False)
+SOLE_UPSTREAM = rank_request(5, has_others=False, repeated=False)
 URGENT = rank_request(0, has_others=False, repeated=False)
-CHOICE = rank_request(0, has_others=True, repeated=False)
-REPEAT = rank_request(0, has_others=False, repeated=True)
+FLEXIBLE = rank_request(0, has_others=True, repeated=False)
+RETRY = rank_request(0, has_others=False, repeated=True)
 
 
-def draw(bucket, begin, seconds, rank=NEEDY):
-    """Ask all the time, and return when permits were given."""
+def take_permits(bucket, begin, seconds, rank=SOLE_UPSTREAM):
+    """Request permits continuously; return the times of those issued."""
     steps = range(int(seconds / STEP_SECONDS))
     times = [begin + step * STEP_SECONDS for step in steps]
     return [at for at in times if not bucket.take(rank, at)]
 
 
-def count_fullest(times):
+def count_busiest_window(times):
     return max(
         sum(first <= at < first + WINDOW_SECONDS for at in times)
         for first in times
@@ -44,9 +44,9 @@
     def test_fullest_window_is_within_the_limit_and_nearly_all_is_used(self):
         for rate in (0.4, 1.2, 10.0, 50.0):
             with self.subTest(rate):
-                times = draw(PermitBucket(rate, 1.0, 0.0), 0.0, 60.0)
-                most = 1.5 * rate * WINDOW_SECONDS + 5
-                self.assertLessEqual(count_fullest(times), most)
+                times = take_permits(PermitBucket(rate, 1.0, 0.0), 0.0, 60.0)
+                maximum = 1.5 * rate * WINDOW_SECONDS + 5
+                self.assertLessEqual(count_busiest_window(times), maximum)
                 self.assertGreaterEqual(len(times), 0.9 * 60.0 * rate - 1)
 
     def test_sides_of_a_cut_together_stay_within_what_is_allowed(self):
@@ -55,41 +55,43 @@
                 times = []
                 for share in SHARES:
                     bucket = PermitBucket(rate, share, 0.0)
-                    # Nobody asked before, so that all may be saved up.
-                    times += draw(bucket, 60.0, 20.0)
-                most = 1.5 * rate * WINDOW_SECONDS + 5
-                self.assertLessEqual(count_fullest(times), most)
+                    # The bucket is full, as nothing was requested before.
+                    times += take_permits(bucket, 60.0, 20.0)
+                maximum = 1.5 * rate * WINDOW_SECONDS + 5
+                self.assertLessEqual(count_busiest_window(times), maximum)
 
     def test_upstream_that_takes_nothing_is_asked_every_ten_seconds(self):
-        times = draw(PermitBucket(0.0, 1.0, 0.0), 0.0, 60.0)
+        times = take_permits(PermitBucket(0.0, 1.0, 0.0), 0.0, 60.0)
         self.assertEqual([round(at) for at in times], [10, 20, 30, 40, 50])
 
     def test_what_was_sent_before_anybody_knew_counts(self):
-        self.assertGreater(PermitBucket(1.0, 1.0, 5.0).take(NEEDY, 5.0), 0.9)
+        self.assertGreater(
+            PermitBucket(1.0, 1.0, 5.0).take(SOLE_UPSTREAM, 5.0), 0.9
+        )
 
 
 class TestOrder(unittest.TestCase):
     def test_those_without_another_upstream_come_first(self):
         bucket = PermitBucket(1.0, 1.0, 0.0)
-        self.assertGreater(bucket.take(NEEDY, 0.5), 0)
-        self.assertGreater(bucket.take(CHOICE, 1.0), 0)
-        self.assertEqual(bucket.take(NEEDY, 1.1), 0)
+        self.assertGreater(bucket.take(SOLE_UPSTREAM, 0.5), 0)
+        self.assertGreater(bucket.take(FLEXIBLE, 1.0), 0)
+        self.assertEqual(bucket.take(SOLE_UPSTREAM, 1.1), 0)
 
     def test_permit_that_is_not_fetched_goes_to_others(self):
         bucket = PermitBucket(1.0, 1.0, 0.0)
-        self.assertGreater(bucket.take(NEEDY, 0.5), 0)
-        self.assertEqual(bucket.take(CHOICE, 2.6), 0)
+        self.assertGreater(bucket.take(SOLE_UPSTREAM, 0.5), 0)
+        self.assertEqual(bucket.take(FLEXIBLE, 2.6), 0)
 
     def test_urgent_ones_come_before_others_and_repeats_last(self):
         bucket = PermitBucket(1.0, 1.0, 0.0)
         bucket.take(URGENT, 0.5)
-        self.assertGreater(bucket.take(NEEDY, 1.0), 0)
-        self.assertGreater(bucket.take(REPEAT, 1.0), 0)
+        self.assertGreater(bucket.take(SOLE_UPSTREAM, 1.0), 0)
+        self.assertGreater(bucket.take(RETRY, 1.0), 0)
         self.assertEqual(bucket.take(URGENT, 1.0), 0)
 
     def test_refused_ones_are_told_times_that_lie_apart(self):
         bucket = PermitBucket(2.0, 1.0, 0.0)
-        waits = [bucket.take(CHOICE, 0.0) for _ in range(4)]
+        waits = [bucket.take(FLEXIBLE, 0.0) for _ in range(4)]
         for wait, expected in zip(waits, (0.5, 1.0, 1.5, 2.0), strict=True):
             self.assertAlmostEqual(wait, expected)
 
@@ -97,9 +99,9 @@
 class TestGivingBack(unittest.TestCase):
     def test_regression_all_was_given_back_at_once_when_a_limit_ended(self):
         bucket = PermitBucket(1.0, 1.0, 0.0)
-        draw(bucket, 0.0, 10.0)
+        take_permits(bucket, 0.0, 10.0)
         bucket.set_rate(None, 10.0)
-        times = draw(bucket, 10.0, 4.0)
+        times = take_permits(bucket, 10.0, 4.0)
         seconds = [
             sum(at // 1 == second for at in times)
             for second in (10, 11, 12, 13)
@@ -112,17 +114,17 @@
 
     def test_limit_that_rises_is_used_in_steps(self):
         bucket = PermitBucket(1.0, 1.0, 0.0)
-        draw(bucket, 0.0, 10.0)
+        take_permits(bucket, 0.0, 10.0)
         bucket.set_rate(50.0, 10.0)
-        self.assertLessEqual(len(draw(bucket, 10.0, 1.0)), 4)
-        draw(bucket, 11.0, 6.0)
-        self.assertGreaterEqual(len(draw(bucket, 17.0, 1.0)), 45)
+        self.assertLessEqual(len(take_permits(bucket, 10.0, 1.0)), 4)
+        take_permits(bucket, 11.0, 6.0)
+        self.assertGreaterEqual(len(take_permits(bucket, 17.0, 1.0)), 45)
 
     def test_limit_that_falls_binds_at_once(self):
         bucket = PermitBucket(50.0, 1.0, 0.0)
-        draw(bucket, 0.0, 10.0)
+        take_permits(bucket, 0.0, 10.0)
         bucket.set_rate(1.0, 10.0)
-        self.assertLessEqual(len(draw(bucket, 10.0, 4.0)), 6)
+        self.assertLessEqual(len(take_permits(bucket, 10.0, 4.0)), 6)
 
     def test_nothing_is_left_to_give_back_where_nobody_is_refused(self):
         bucket = PermitBucket(5.0, 1.0, 0.0)
--- a/tests/cover/test_stopping.py
+++ b/tests/cover/test_stopping.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""What a router that was told to stop still takes, and its one deadline."""
+"""Tests of what a stopping router accepts, and of its deadline."""
 
 import datetime
 import unittest
@@ -36,7 +36,7 @@
         self.assertEqual(shutdown.get_left(), float('inf'))
         shutdown.begin(GRACE)
         clock.advance(3.0)
-        # A second order does not give more time.
+        # A second stop signal does not extend the deadline.
         shutdown.begin(GRACE)
         self.assertEqual(shutdown.get_left(), 5.0)
         order = (
