--- a/src/lifttrestle/internal/fleet/policy/admission.py
+++ b/src/lifttrestle/internal/fleet/policy/admission.py
@@ -63,7 +63,7 @@
     if catalogue is None:
         raise RequestRefused(
             ErrorKind.NOT_CONFIGURED,
-            'this router has not read its configuration yet',
+            'this router has not loaded its configuration yet',
             retry_after=STALE_RETRY_SECONDS,
         )
     route = catalogue.find_route(facts.host, facts.path)
@@ -71,7 +71,7 @@
         _check_fresh(parts)
         raise RequestRefused(
             ErrorKind.NOT_FOUND,
-            f'no route leads from host {facts.host!r} to {facts.path!r}',
+            f'no route matches host {facts.host!r} and path {facts.path!r}',
             field='path',
         )
     return AdmittedRequest(
@@ -101,7 +101,7 @@
     if workspace is None:
         raise RequestRefused(
             ErrorKind.UNAUTHORISED,
-            'the request carries no key of any workspace',
+            'the request has no valid workspace key',
             field='authorization',
         )
     return workspace
@@ -112,7 +112,7 @@
         return
     raise RequestRefused(
         ErrorKind.NOT_CONFIGURED,
-        f'the configuration was last proved current'
+        f'the configuration was last confirmed current'
         f' {parts.operator_watch.get_age():.1f} s ago',
         retry_after=STALE_RETRY_SECONDS,
     )
