--- a/src/lifttrestle/internal/admission/gate.py
+++ b/src/lifttrestle/internal/admission/gate.py
@@ -16,7 +16,7 @@
 
 from lifttrestle.errors import RequestRefused
 from lifttrestle.internal.admission.queue import AdmissionQueue
-from lifttrestle.internal.admission.queue import Step
+from lifttrestle.internal.admission.queue import AdmissionResult
 from lifttrestle.internal.admission.ticket import Ticket
 from lifttrestle.internal.clock.clock import Clock
 from lifttrestle.internal.refusal.kind import ErrorKind
@@ -66,7 +66,7 @@
         if not self._queue.withdraw(ticket) and ticket.granted:
             self.leave()
 
-    def _apply(self, step: Step) -> None:
+    def _apply(self, step: AdmissionResult) -> None:
         for ticket in step.started:
             future = self._futures.get(ticket)
             if future is not None and not future.done():
--- a/src/lifttrestle/internal/admission/queue.py
+++ b/src/lifttrestle/internal/admission/queue.py
@@ -19,7 +19,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Step:
+class AdmissionResult:
     """What follows from an event: who may start and who is turned away."""
 
     started: tuple[Ticket, ...] = ()
@@ -47,21 +47,21 @@
         """Return how many requests wait."""
         return len(self._waiting)
 
-    def offer(self, ticket: Ticket, now: float) -> Step:
+    def offer(self, ticket: Ticket, now: float) -> AdmissionResult:
         """Add a request."""
         ticket.number = next(self._numbers)
         expired = self._expire(now)
         if self._free > 0 and not self._waiting:
             self._grant(ticket)
-            return Step((ticket,), expired)
+            return AdmissionResult((ticket,), expired)
         self._waiting.append(ticket)
         if len(self._waiting) <= self._length:
-            return Step((), expired)
+            return AdmissionResult((), expired)
         last = max(self._waiting, key=lambda item: item.rank)
         self._waiting.remove(last)
-        return Step((), (*expired, last))
+        return AdmissionResult((), (*expired, last))
 
-    def release(self, now: float) -> Step:
+    def release(self, now: float) -> AdmissionResult:
         """Give a slot back and start the most urgent waiting request."""
         self._free += 1
         expired = self._expire(now)
@@ -71,7 +71,7 @@
             self._waiting.remove(first)
             self._grant(first)
             started.append(first)
-        return Step(tuple(started), expired)
+        return AdmissionResult(tuple(started), expired)
 
     def withdraw(self, ticket: Ticket) -> bool:
         """Remove a waiting request; return False if it did not wait."""
--- a/src/lifttrestle/internal/exchange/attempts.py
+++ b/src/lifttrestle/internal/exchange/attempts.py
@@ -32,7 +32,7 @@
 Chosen = TypeVar('Chosen')
 Outcome = TypeVar('Outcome')
 # The failures of an attempt; every other exception ends the request.
-FAILURES = (
+ATTEMPT_FAILURES = (
     UpstreamConnectFailed,
     UpstreamDeclined,
     UpstreamFailed,
@@ -40,14 +40,14 @@
     WrongAnswer,
 )
 # After these nothing has run at the upstream.
-NOT_RUN = (UpstreamConnectFailed, UpstreamDeclined)
+NOT_RUN_FAILURES = (UpstreamConnectFailed, UpstreamDeclined)
 
 
-class Verdict(enum.Enum):
+class FailureAction(enum.Enum):
     """What follows a failed attempt, unless the request is refused."""
 
-    AGAIN = 'again'
-    ENDED = 'ended'
+    RETRY = 'retry'
+    END = 'end'
 
 
 class AttemptPlan(abc.ABC, Generic[Chosen, Outcome]):
@@ -64,11 +64,13 @@
     async def attempt(self, chosen: Chosen) -> Outcome:
         """Ask, and pass the answer on or return it.
 
-        :raises LifttrestleError: one of ``FAILURES``.
+        :raises LifttrestleError: one of ``ATTEMPT_FAILURES``.
         """
 
     @abc.abstractmethod
-    async def judge(self, chosen: Chosen, error: LifttrestleError) -> Verdict:
+    async def handle_failure(
+        self, chosen: Chosen, error: LifttrestleError
+    ) -> FailureAction:
         """Return what follows a failure.
 
         :raises RequestRefused: if the request is given up.
@@ -86,6 +88,6 @@
         chosen = await plan.choose()
         try:
             return await plan.attempt(chosen)
-        except FAILURES as error:
-            if await plan.judge(chosen, error) is Verdict.ENDED:
+        except ATTEMPT_FAILURES as error:
+            if await plan.handle_failure(chosen, error) is FailureAction.END:
                 return None
--- a/src/lifttrestle/internal/exchange/progress.py
+++ b/src/lifttrestle/internal/exchange/progress.py
@@ -79,7 +79,7 @@
         self._sends = 0
         self.detached = False
 
-    def move(self, event: RequestEvent) -> None:
+    def apply(self, event: RequestEvent) -> None:
         """Move on; an event that the table lacks is a programming error."""
         before = self.state
         if event is RequestEvent.SEND:
--- a/src/lifttrestle/internal/fleet/path/answer_passing.py
+++ b/src/lifttrestle/internal/fleet/path/answer_passing.py
@@ -87,7 +87,7 @@
             await self._pass_events(upstream, answer, patience)
         else:
             await self._pass_whole(route, upstream, answer)
-        self._progress.move(RequestEvent.END)
+        self._progress.apply(RequestEvent.END)
 
     async def _pass_events(
         self,
@@ -98,7 +98,7 @@
         parts = self._parts
         headers = parts.dialect.select_answer_headers(answer.head)
         self.relay.begin_run(answer.facts.status, headers)
-        self._progress.move(RequestEvent.ANSWER)
+        self._progress.apply(RequestEvent.ANSWER)
         while True:
             data = await await_sound(
                 parts.clock,
@@ -138,5 +138,5 @@
             raise
         if self.relay.started:
             raise UpstreamLost(f'{upstream.instance} did not go on')
-        self._progress.move(RequestEvent.ANSWER)
+        self._progress.apply(RequestEvent.ANSWER)
         await self._connection.send_answer(whole)
--- a/src/lifttrestle/internal/fleet/path/exchange.py
+++ b/src/lifttrestle/internal/fleet/path/exchange.py
@@ -23,8 +23,8 @@
 from lifttrestle.errors import UpstreamDeclined
 from lifttrestle.errors import UpstreamFailed
 from lifttrestle.internal.exchange.attempts import AttemptPlan
+from lifttrestle.internal.exchange.attempts import FailureAction
 from lifttrestle.internal.exchange.attempts import run_attempts
-from lifttrestle.internal.exchange.attempts import Verdict
 from lifttrestle.internal.exchange.progress import RequestEvent
 from lifttrestle.internal.exchange.progress import RequestProgress
 from lifttrestle.internal.fleet.crashes.held_row import name_request
@@ -153,7 +153,7 @@
         self._sender = RequestSender(
             request, self._head, self._body, self._passing, self._candidates
         )
-        self._progress.move(RequestEvent.ADMIT)
+        self._progress.apply(RequestEvent.ADMIT)
         self._story.add(
             'admitted',
             **build_admitted(
@@ -207,9 +207,9 @@
             upstream.in_flight -= 1
             upstream.note_ended(ticket)
 
-    async def judge(
+    async def handle_failure(
         self, chosen: Placement, error: LifttrestleError
-    ) -> Verdict:
+    ) -> FailureAction:
         """Hold the failure against the upstream, and go on if allowed."""
         request = self._context
         self._note_failure(chosen.upstream, error)
@@ -218,7 +218,7 @@
                 ErrorKind.UPSTREAM_FAILED, f'too many attempts: {error}'
             )
         if request.runs == 0:
-            return Verdict.AGAIN
+            return FailureAction.RETRY
         if self._parts.crashes.must_end(request.digest):
             raise request.give_up(
                 ErrorKind.UPSTREAM_FAILED,
@@ -233,7 +233,7 @@
             raise request.give_up(
                 ErrorKind.UPSTREAM_FAILED, f'no attempt is left: {error}'
             )
-        return Verdict.AGAIN
+        return FailureAction.RETRY
 
     def _note_failure(
         self, upstream: FleetUpstream, error: LifttrestleError
@@ -270,7 +270,7 @@
 
     def _note_declined(self, upstream: FleetUpstream, now: float) -> None:
         """Take a run back that was none; its upstream may do better soon."""
-        self._progress.move(RequestEvent.DECLINED)
+        self._progress.apply(RequestEvent.DECLINED)
         self._context.runs -= 1
         if self._context.charge is not None:
             self._context.charge.note_not_run()
--- a/src/lifttrestle/internal/fleet/path/sending.py
+++ b/src/lifttrestle/internal/fleet/path/sending.py
@@ -89,7 +89,7 @@
         request.runs += 1
         if request.charge is not None:
             request.charge.note_sent()
-        request.progress.move(RequestEvent.SEND)
+        request.progress.apply(RequestEvent.SEND)
         sent_at = parts.clock.monotonic()
         upstream.note_sent(
             ticket, sent_at, get_urgency(admitted), chosen.unread_tokens
--- a/src/lifttrestle/internal/replay/goodput.py
+++ b/src/lifttrestle/internal/replay/goodput.py
@@ -23,7 +23,7 @@
 import msgspec
 
 from lifttrestle.internal.admission.queue import AdmissionQueue
-from lifttrestle.internal.admission.queue import Step
+from lifttrestle.internal.admission.queue import AdmissionResult
 from lifttrestle.internal.admission.ticket import Ticket
 from lifttrestle.internal.replay.engine import EngineCosts
 from lifttrestle.internal.replay.engine import ReplayEngine
@@ -115,7 +115,7 @@
             self._routers[router].in_flight[name] -= 1
             self._apply(self._queues[router].release(at), router, at)
 
-    def _apply(self, step: Step, router: int, now: float) -> None:
+    def _apply(self, step: AdmissionResult, router: int, now: float) -> None:
         for ticket in step.refused:
             self._waiting.pop(ticket)
             self._refused.append(ticket.priority)
--- a/src/lifttrestle/internal/replay/nested_first.py
+++ b/src/lifttrestle/internal/replay/nested_first.py
@@ -24,12 +24,12 @@
 
 from lifttrestle.internal.routing.candidate import Candidate
 from lifttrestle.internal.routing.choice import Choice
-from lifttrestle.internal.routing.draws import draw_beside
-from lifttrestle.internal.routing.draws import draw_nearest
-from lifttrestle.internal.routing.evidence import Evidence
+from lifttrestle.internal.routing.draws import sample_nearest
+from lifttrestle.internal.routing.draws import sample_non_homes
+from lifttrestle.internal.routing.evidence import CacheEvidence
 from lifttrestle.internal.routing.policy import Policy
 from lifttrestle.internal.routing.prompt import Prompt
-from lifttrestle.internal.routing.ranking_memory import RankingMemory
+from lifttrestle.internal.routing.ranking_memory import RankingCache
 
 NO_PROMPT = Prompt((), 0)
 
@@ -69,10 +69,10 @@
     ) -> None:
         self._source = source
         self._settings = settings or FirstNestedSettings()
-        self._evidence = Evidence(
+        self._evidence = CacheEvidence(
             self._settings.evidence_seconds, self._settings.evidence_entries
         )
-        self._rankings = RankingMemory(self._settings.ranking_entries)
+        self._rankings = RankingCache(self._settings.ranking_entries)
 
     def choose(
         self, prompt: Prompt, candidates: list[Candidate], now: float
@@ -83,7 +83,7 @@
             return self._spread(candidates, by_name, now)
         homes = self._find_homes(prompt, tuple(by_name))
         best = self._weigh(prompt, homes, by_name, now)
-        drawn = draw_beside(
+        drawn = sample_non_homes(
             self._source, candidates, homes, self._settings.random_choices
         )
         others = [item.name for item in drawn]
@@ -117,7 +117,7 @@
         now: float,
     ) -> Choice:
         """Return the better of two drawn at random, the nearest first."""
-        drawn = draw_nearest(
+        drawn = sample_nearest(
             self._source, candidates, self._settings.random_choices
         )
         names = [item.name for item in drawn]
@@ -164,7 +164,7 @@
         reason: str,
         now: float,
     ) -> Choice:
-        cached = self._evidence.expect_cached(prompt, candidate, now)
+        cached = self._evidence.estimate_cached_tokens(prompt, candidate, now)
         missing = max(prompt.tokens - cached, 0)
         waiting = max(candidate.load + 1 - candidate.slots, 0)
         seconds = (
--- a/src/lifttrestle/internal/router/call.py
+++ b/src/lifttrestle/internal/router/call.py
@@ -99,7 +99,7 @@
         )
         stale_risk = connection.exchanges > 0
         try:
-            scope.progress.move(RequestEvent.SEND)
+            scope.progress.apply(RequestEvent.SEND)
             answer = await _exchange(parts, scope, connection, head, body)
             stall = parts.settings.deadlines.stall
             return UpstreamCall(connection, answer, stall)
--- a/src/lifttrestle/internal/router/caller_handler.py
+++ b/src/lifttrestle/internal/router/caller_handler.py
@@ -131,7 +131,7 @@
             body = await scope.connection.read_body()
             await parts.gate.enter(workspace.priority, scope.deadline)
             try:
-                scope.progress.move(RequestEvent.ADMIT)
+                scope.progress.apply(RequestEvent.ADMIT)
                 parts.metrics.count(f'requests.{workspace.name}')
                 await self._run(scope, route, body)
             except RequestRefused as refused:
--- a/src/lifttrestle/internal/router/chooser.py
+++ b/src/lifttrestle/internal/router/chooser.py
@@ -135,7 +135,7 @@
     ) -> None:
         """Hold a failure against the upstream, unless it only declined."""
         if isinstance(error, UpstreamDeclined):
-            scope.progress.move(RequestEvent.DECLINED)
+            scope.progress.apply(RequestEvent.DECLINED)
             return
         now = self._parts.clock.monotonic()
         attempt.upstream.breaker.note_failure(now)
--- a/src/lifttrestle/internal/router/model_exchange.py
+++ b/src/lifttrestle/internal/router/model_exchange.py
@@ -27,10 +27,10 @@
 from lifttrestle.errors import UpstreamLost
 from lifttrestle.errors import WrongAnswer
 from lifttrestle.internal.configuration.model import Model
+from lifttrestle.internal.exchange.attempts import ATTEMPT_FAILURES
 from lifttrestle.internal.exchange.attempts import AttemptPlan
-from lifttrestle.internal.exchange.attempts import FAILURES
+from lifttrestle.internal.exchange.attempts import FailureAction
 from lifttrestle.internal.exchange.attempts import run_attempts
-from lifttrestle.internal.exchange.attempts import Verdict
 from lifttrestle.internal.exchange.progress import RequestEvent
 from lifttrestle.internal.http.answer import Answer
 from lifttrestle.internal.http.client_connection import ClientConnection
@@ -114,14 +114,16 @@
         with self._chooser.track(chosen):
             await self._try(chosen)
 
-    async def judge(self, chosen: Attempt, error: LifttrestleError) -> Verdict:
+    async def handle_failure(
+        self, chosen: Attempt, error: LifttrestleError
+    ) -> FailureAction:
         """End a stream that is whole but for its end, or try again."""
         if await self._end_lost_stream():
-            return Verdict.ENDED
+            return FailureAction.END
         given_up = self._judge_failure(error)
         if given_up is not None:
             raise given_up
-        return Verdict.AGAIN
+        return FailureAction.RETRY
 
     def _choose(self) -> Attempt:
         relay = self._relay
@@ -164,7 +166,7 @@
                 self._parts, self._scope, attempt, head, self._body
             )
             await self._take_answer(attempt, call, request_id)
-        except FAILURES as error:
+        except ATTEMPT_FAILURES as error:
             self._chooser.note_failure(self._scope, attempt, error)
             raise
 
@@ -180,7 +182,7 @@
                 attempt.upstream.pool.give_back(call.connection)
                 return
             self._check_weights(attempt, identity)
-            self._scope.progress.move(RequestEvent.ANSWER)
+            self._scope.progress.apply(RequestEvent.ANSWER)
             self._chooser.note_first_byte(attempt)
             await self._consume(attempt, call, identity)
         except CallerGone:
@@ -191,7 +193,7 @@
             call.connection.close()
             raise
         attempt.upstream.pool.give_back(call.connection)
-        self._scope.progress.move(RequestEvent.END)
+        self._scope.progress.apply(RequestEvent.END)
         self._note_usage(attempt)
 
     async def _consume(
@@ -245,7 +247,7 @@
             raise UpstreamFailed(
                 f'{attempt.upstream.name} refused to go on with a text'
             )
-        self._scope.progress.move(RequestEvent.ANSWER)
+        self._scope.progress.apply(RequestEvent.ANSWER)
         headers = (
             ('content-type', call.head.get_header('content-type')),
             ('x-request-id', self._scope.request_id),
--- a/src/lifttrestle/internal/router/once_exchange.py
+++ b/src/lifttrestle/internal/router/once_exchange.py
@@ -23,11 +23,11 @@
 from lifttrestle.errors import LifttrestleError
 from lifttrestle.errors import PlatformUnavailable
 from lifttrestle.errors import RequestRefused
+from lifttrestle.internal.exchange.attempts import ATTEMPT_FAILURES
 from lifttrestle.internal.exchange.attempts import AttemptPlan
-from lifttrestle.internal.exchange.attempts import FAILURES
-from lifttrestle.internal.exchange.attempts import NOT_RUN
+from lifttrestle.internal.exchange.attempts import FailureAction
+from lifttrestle.internal.exchange.attempts import NOT_RUN_FAILURES
 from lifttrestle.internal.exchange.attempts import run_attempts
-from lifttrestle.internal.exchange.attempts import Verdict
 from lifttrestle.internal.exchange.progress import RequestEvent
 from lifttrestle.internal.http.answer import Answer
 from lifttrestle.internal.refusal.execution import Execution
@@ -127,7 +127,7 @@
             ) from None
         if not isinstance(outcome, Claim):
             raise self._explain(outcome.record)
-        self._scope.progress.move(RequestEvent.CLAIM)
+        self._scope.progress.apply(RequestEvent.CLAIM)
         return outcome
 
     async def choose(self) -> Attempt:
@@ -152,7 +152,7 @@
         with self._chooser.track(chosen):
             try:
                 answer = await self._try(chosen)
-            except FAILURES as error:
+            except ATTEMPT_FAILURES as error:
                 self._chooser.note_failure(self._scope, chosen, error)
                 raise
             except BaseException:
@@ -161,10 +161,12 @@
         self._finish(self._claimed, RunState.DONE, answer.status)
         return answer
 
-    async def judge(self, chosen: Attempt, error: LifttrestleError) -> Verdict:
+    async def handle_failure(
+        self, chosen: Attempt, error: LifttrestleError
+    ) -> FailureAction:
         """Go elsewhere only if it did not run: the claim covers that."""
-        if isinstance(error, NOT_RUN):
-            return Verdict.AGAIN
+        if isinstance(error, NOT_RUN_FAILURES):
+            return FailureAction.RETRY
         self._finish(self._claimed, RunState.UNKNOWN, 0)
         raise RequestRefused(
             ErrorKind.UPSTREAM_FAILED,
@@ -185,14 +187,14 @@
         )
         try:
             check_answer(self._parts, attempt, call, request_id)
-            self._scope.progress.move(RequestEvent.ANSWER)
+            self._scope.progress.apply(RequestEvent.ANSWER)
             self._chooser.note_first_byte(attempt)
             answer = await read_whole(call, MAX_ANSWER_BYTES)
         except BaseException:
             call.connection.close()
             raise
         attempt.upstream.pool.give_back(call.connection)
-        self._scope.progress.move(RequestEvent.END)
+        self._scope.progress.apply(RequestEvent.END)
         attempt.decision.outcome = f'status {answer.status}'
         own = ('x-request-id', self._scope.request_id)
         return Answer(answer.status, (*answer.headers, own), answer.body)
--- a/src/lifttrestle/internal/router/service_exchange.py
+++ b/src/lifttrestle/internal/router/service_exchange.py
@@ -18,11 +18,11 @@
 from lifttrestle.errors import RequestRefused
 from lifttrestle.errors import UpstreamFailed
 from lifttrestle.internal.configuration.model import Service
+from lifttrestle.internal.exchange.attempts import ATTEMPT_FAILURES
 from lifttrestle.internal.exchange.attempts import AttemptPlan
-from lifttrestle.internal.exchange.attempts import FAILURES
-from lifttrestle.internal.exchange.attempts import NOT_RUN
+from lifttrestle.internal.exchange.attempts import FailureAction
+from lifttrestle.internal.exchange.attempts import NOT_RUN_FAILURES
 from lifttrestle.internal.exchange.attempts import run_attempts
-from lifttrestle.internal.exchange.attempts import Verdict
 from lifttrestle.internal.exchange.progress import RequestEvent
 from lifttrestle.internal.http.head import RequestHead
 from lifttrestle.internal.refusal.kind import ErrorKind
@@ -145,7 +145,7 @@
                 once=not self._is_repeatable(),
             )
             await self._take_answer(attempt, call, request_id)
-        except FAILURES as error:
+        except ATTEMPT_FAILURES as error:
             self._chooser.note_failure(self._scope, attempt, error)
             raise
 
@@ -155,14 +155,14 @@
         try:
             check_answer(self._parts, attempt, call, request_id)
             self._check_status(attempt, call)
-            self._scope.progress.move(RequestEvent.ANSWER)
+            self._scope.progress.apply(RequestEvent.ANSWER)
             self._chooser.note_first_byte(attempt)
             await pass_answer(self._scope, call)
         except BaseException:
             call.connection.close()
             raise
         attempt.upstream.pool.give_back(call.connection)
-        self._scope.progress.move(RequestEvent.END)
+        self._scope.progress.apply(RequestEvent.END)
         attempt.decision.outcome = f'status {call.head.status}'
 
     def _check_status(self, attempt: Attempt, call: UpstreamCall) -> None:
@@ -179,12 +179,17 @@
     def _is_repeatable(self) -> bool:
         return not self._once and self._scope.head.method in REPEATABLE_METHODS
 
-    async def judge(self, chosen: Attempt, error: LifttrestleError) -> Verdict:
+    async def handle_failure(
+        self, chosen: Attempt, error: LifttrestleError
+    ) -> FailureAction:
         """Try again where that is harmless and in time."""
         if self._scope.connection.answer_started:
             self._scope.connection.abort()
             raise self._refuse(f'the answer broke off: {error}')
-        if not isinstance(error, NOT_RUN) and not self._is_repeatable():
+        if (
+            not isinstance(error, NOT_RUN_FAILURES)
+            and not self._is_repeatable()
+        ):
             raise self._refuse(str(error))
         if self._parts.clock.monotonic() >= self._scope.deadline:
             raise RequestRefused(
@@ -192,7 +197,7 @@
             )
         if not self._parts.budget.take():
             raise self._refuse(f'no retry is left: {error}')
-        return Verdict.AGAIN
+        return FailureAction.RETRY
 
     def _refuse(self, message: str) -> RequestRefused:
         return RequestRefused(
--- a/src/lifttrestle/internal/routing/draws.py
+++ b/src/lifttrestle/internal/routing/draws.py
@@ -17,7 +17,7 @@
 from lifttrestle.internal.routing.candidate import Candidate
 
 
-def draw_nearest(
+def sample_nearest(
     source: random.Random, candidates: list[Candidate], count: int
 ) -> list[Candidate]:
     """Return up to ``count`` of the candidates that are nearest."""
@@ -26,7 +26,7 @@
     return source.sample(near, min(count, len(near)))
 
 
-def draw_beside(
+def sample_non_homes(
     source: random.Random,
     candidates: list[Candidate],
     homes: list[str],
--- a/src/lifttrestle/internal/routing/evidence.py
+++ b/src/lifttrestle/internal/routing/evidence.py
@@ -20,7 +20,7 @@
 Key = tuple[str, str, bytes]
 
 
-class Evidence:
+class CacheEvidence:
     """Remembers which prefix levels an engine incarnation has computed.
 
     An entry ages out, since engines evict within seconds, and the whole is
@@ -38,7 +38,7 @@
         """Return the number of entries kept."""
         return len(self._seen)
 
-    def expect_cached(
+    def estimate_cached_tokens(
         self, prompt: Prompt, candidate: Candidate, now: float
     ) -> int:
         """Return how many tokens of the prompt the candidate should hold."""
--- a/src/lifttrestle/internal/routing/nested.py
+++ b/src/lifttrestle/internal/routing/nested.py
@@ -24,12 +24,12 @@
 
 from lifttrestle.internal.routing.candidate import Candidate
 from lifttrestle.internal.routing.choice import Choice
-from lifttrestle.internal.routing.draws import draw_beside
-from lifttrestle.internal.routing.draws import draw_nearest
-from lifttrestle.internal.routing.evidence import Evidence
+from lifttrestle.internal.routing.draws import sample_nearest
+from lifttrestle.internal.routing.draws import sample_non_homes
+from lifttrestle.internal.routing.evidence import CacheEvidence
 from lifttrestle.internal.routing.policy import Policy
 from lifttrestle.internal.routing.prompt import Prompt
-from lifttrestle.internal.routing.ranking_memory import RankingMemory
+from lifttrestle.internal.routing.ranking_memory import RankingCache
 
 NO_PROMPT = Prompt((), 0)
 
@@ -65,10 +65,10 @@
     ) -> None:
         self._source = source
         self._settings = settings or NestedSettings()
-        self._evidence = Evidence(
+        self._evidence = CacheEvidence(
             self._settings.evidence_seconds, self._settings.evidence_entries
         )
-        self._rankings = RankingMemory(self._settings.ranking_entries)
+        self._rankings = RankingCache(self._settings.ranking_entries)
 
     def choose(
         self, prompt: Prompt, candidates: list[Candidate], now: float
@@ -80,7 +80,7 @@
         homes = self._rank_homes(prompt, tuple(by_name))
         first = self._expect(prompt, by_name[homes[0]], now, is_first=True)
         others = [by_name[name] for name in homes[1:]]
-        others += draw_beside(
+        others += sample_non_homes(
             self._source, candidates, homes, self._settings.random_choices
         )
         if not others:
@@ -101,7 +101,7 @@
 
     def _spread(self, candidates: list[Candidate], now: float) -> Choice:
         """Return the better of two drawn at random among the nearest."""
-        drawn = draw_nearest(
+        drawn = sample_nearest(
             self._source, candidates, self._settings.random_choices
         )
         choices = [
@@ -127,7 +127,7 @@
         is_first: bool = False,
         reason: str = 'home is busy',
     ) -> Choice:
-        cached = self._evidence.expect_cached(prompt, candidate, now)
+        cached = self._evidence.estimate_cached_tokens(prompt, candidate, now)
         likely = float(cached)
         if is_first:
             reason = 'home'
--- a/src/lifttrestle/internal/routing/ranking_memory.py
+++ b/src/lifttrestle/internal/routing/ranking_memory.py
@@ -17,7 +17,7 @@
 from lifttrestle.internal.routing.rendezvous import rank_names
 
 
-class RankingMemory:
+class RankingCache:
     """Ranks names and remembers the rankings that were made last."""
 
     def __init__(self, max_entries: int) -> None:
--- a/tests/cover/test_cut.py
+++ b/tests/cover/test_cut.py
@@ -66,7 +66,7 @@
 
     def test_work_that_goes_on_alone_is_never_not_run(self) -> None:
         progress = RequestProgress()
-        progress.move(RequestEvent.ADMIT)
+        progress.apply(RequestEvent.ADMIT)
         self.assertIs(progress.execution, Execution.NOT_RUN)
         progress.detached = True
         self.assertIs(progress.execution, Execution.UNKNOWN)
--- a/tests/cover/test_progress.py
+++ b/tests/cover/test_progress.py
@@ -36,7 +36,7 @@
         for event in events:
             if (progress.state, event) not in TRANSITIONS:
                 continue
-            progress.move(event)
+            progress.apply(event)
             if event is RequestEvent.SEND:
                 doubtful += 1
             if event is RequestEvent.DECLINED:
--- a/tests/cover/test_retry_model.py
+++ b/tests/cover/test_retry_model.py
@@ -50,7 +50,7 @@
 
     def __init__(self, progress):
         self.progress = progress
-        self.progress.move(RequestEvent.ADMIT)
+        self.progress.apply(RequestEvent.ADMIT)
         self.sends = 0
         self.under_way = False
         self.may_have_run = 0
@@ -102,7 +102,7 @@
         request.sends += 1
         request.under_way = True
         request.may_have_run += 1
-        request.progress.move(RequestEvent.SEND)
+        request.progress.apply(RequestEvent.SEND)
 
     @stateful.rule(index=ROUTER, declined=st.booleans())
     def fail_one(self, index, declined):
@@ -111,7 +111,7 @@
                 request.under_way = False
                 if declined:
                     request.may_have_run -= 1
-                    request.progress.move(RequestEvent.DECLINED)
+                    request.progress.apply(RequestEvent.DECLINED)
                 return
 
     @stateful.rule(index=ROUTER)
@@ -130,8 +130,8 @@
         for request in self.open[index]:
             if request.under_way:
                 request.under_way = False
-                request.progress.move(RequestEvent.ANSWER)
-                request.progress.move(RequestEvent.END)
+                request.progress.apply(RequestEvent.ANSWER)
+                request.progress.apply(RequestEvent.END)
                 self.open[index].remove(request)
                 return
 
@@ -175,11 +175,11 @@
 class ForgetfulProgress(RequestProgress):
     """Planted fault: a send that is turned away undoes those before it."""
 
-    def move(self, event):
+    def apply(self, event):
         if event is RequestEvent.DECLINED:
             self.state = RequestState.ADMITTED
             return
-        super().move(event)
+        super().apply(event)
 
 
 def run_machine(**fields):
