--- a/src/lifttrestle/internal/replay/nested_first.py
+++ b/src/lifttrestle/internal/replay/nested_first.py
@@ -29,7 +29,7 @@
 from lifttrestle.internal.routing.evidence import CacheEvidence
 from lifttrestle.internal.routing.policy import Policy
 from lifttrestle.internal.routing.prompt import Prompt
-from lifttrestle.internal.routing.ranking_memory import RankingCache
+from lifttrestle.internal.routing.ranking_cache import RankingCache
 
 NO_PROMPT = Prompt((), 0)
 
