--- a/src/lifttrestle/internal/admission/bucket.py
+++ b/src/lifttrestle/internal/admission/bucket.py
@@ -10,24 +10,28 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""A token bucket; the caller passes the time in."""
+"""A token bucket rate limiter; callers pass the current time."""
 
 
 class TokenBucket:
-    """Allows a steady rate with short bursts.
+    """Limits the rate of events and permits short bursts.
 
-    :param rate: tokens a second.
-    :param burst: tokens that can be saved up.
+    :param rate: tokens per second.
+    :param burst: capacity in tokens; at least one.
+    :param now: monotonic time in seconds.
     """
 
     def __init__(self, rate: float, burst: float, now: float) -> None:
         self.rate = rate
         self._burst = max(burst, 1.0)
         self._tokens = self._burst
-        self._at = now
+        self._refilled_at = now
 
     def take(self, now: float) -> float:
-        """Take a token and return 0, or return seconds until there is one."""
+        """Take a token if there is one.
+
+        :returns: 0 if a token was taken, else the seconds until there is one.
+        """
         self._refill(now)
         if self._tokens >= 1.0:
             self._tokens -= 1.0
@@ -35,6 +39,6 @@
         return (1.0 - self._tokens) / self.rate
 
     def _refill(self, now: float) -> None:
-        gained = max(now - self._at, 0.0) * self.rate
+        gained = max(now - self._refilled_at, 0.0) * self.rate
         self._tokens = min(self._tokens + gained, self._burst)
-        self._at = now
+        self._refilled_at = now
--- a/src/lifttrestle/internal/admission/gate.py
+++ b/src/lifttrestle/internal/admission/gate.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Lets requests wait for a slot, on top of the pure queue."""
+"""An asyncio interface to the admission queue."""
 
 import asyncio
 
@@ -25,7 +25,11 @@
 
 
 class AdmissionGate:
-    """One slot for each running request; the others wait in the queue."""
+    """Limits the number of running requests; further ones wait in a queue.
+
+    :param slots: requests that may run concurrently.
+    :param length: requests that may wait.
+    """
 
     def __init__(self, slots: int, length: int, clock: Clock) -> None:
         self._queue = AdmissionQueue(slots, length)
@@ -35,9 +39,10 @@
     async def enter(self, priority: int, deadline: float) -> None:
         """Wait for a slot.
 
-        :param deadline: a time of the monotonic clock.
-        :raises RequestRefused: at once when the queue is full, or when the
-            deadline passes while waiting.
+        :param priority: 0 is the most urgent.
+        :param deadline: monotonic time in seconds.
+        :raises RequestRefused: if the queue is full, immediately or when a
+            more urgent request arrives, or if the deadline passes.
         """
         ticket = Ticket(priority, deadline)
         future = asyncio.get_running_loop().create_future()
@@ -48,30 +53,30 @@
             async with asyncio.timeout(max(wait, 0)):
                 await future
         except TimeoutError:
-            self._give_up(ticket)
+            self._cancel_wait(ticket)
             raise _refuse('waited for a slot until its deadline') from None
         except asyncio.CancelledError:
-            self._give_up(ticket)
+            self._cancel_wait(ticket)
             raise
         finally:
             self._futures.pop(ticket, None)
 
     def leave(self) -> None:
-        """Give the slot back."""
+        """Release the slot."""
         self._apply(self._queue.release(self._clock.monotonic()))
 
-    def _give_up(self, ticket: Ticket) -> None:
-        # A slot may have been granted in the same turn of the loop in which
-        # the wait was cancelled; then it is handed on.
+    def _cancel_wait(self, ticket: Ticket) -> None:
+        # A slot may have been granted in the same iteration of the event
+        # loop in which the wait was cancelled; it is then released.
         if not self._queue.withdraw(ticket) and ticket.granted:
             self.leave()
 
-    def _apply(self, step: AdmissionResult) -> None:
-        for ticket in step.started:
+    def _apply(self, result: AdmissionResult) -> None:
+        for ticket in result.started:
             future = self._futures.get(ticket)
             if future is not None and not future.done():
                 future.set_result(None)
-        for ticket in step.refused:
+        for ticket in result.refused:
             future = self._futures.get(ticket)
             if future is not None and not future.done():
                 future.set_exception(_refuse('found the queue full'))
--- a/src/lifttrestle/internal/admission/queue.py
+++ b/src/lifttrestle/internal/admission/queue.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""A bounded queue by priority with deadlines; it does no I/O."""
+"""A bounded priority queue with deadlines; it performs no I/O."""
 
 import dataclasses
 import itertools
@@ -20,19 +20,19 @@
 
 @dataclasses.dataclass(frozen=True)
 class AdmissionResult:
-    """What follows from an event: who may start and who is turned away."""
+    """The tickets that an operation of the queue has started or refused."""
 
     started: tuple[Ticket, ...] = ()
     refused: tuple[Ticket, ...] = ()
 
 
 class AdmissionQueue:
-    """Grants a number of slots, the most urgent waiting request first.
+    """Grants slots to requests, the most urgent waiting request first.
 
-    A full queue turns away its least urgent member at once, which may be the
-    newcomer, so that no one waits for what will not come.
+    A full queue refuses its least urgent request immediately, which may be
+    the new one, rather than let it wait until its deadline.
 
-    :param slots: requests that may run at the same time.
+    :param slots: requests that may run concurrently.
     :param length: requests that may wait.
     """
 
@@ -40,16 +40,19 @@
         self._free = slots
         self._length = length
         self._waiting: list[Ticket] = []
-        self._numbers = itertools.count()
+        self._sequence = itertools.count()
 
     @property
     def waiting(self) -> int:
-        """Return how many requests wait."""
+        """Return the number of waiting requests."""
         return len(self._waiting)
 
     def offer(self, ticket: Ticket, now: float) -> AdmissionResult:
-        """Add a request."""
-        ticket.number = next(self._numbers)
+        """Start a request, or add it to the queue.
+
+        :param now: monotonic time in seconds.
+        """
+        ticket.sequence = next(self._sequence)
         expired = self._expire(now)
         if self._free > 0 and not self._waiting:
             self._grant(ticket)
@@ -57,24 +60,30 @@
         self._waiting.append(ticket)
         if len(self._waiting) <= self._length:
             return AdmissionResult((), expired)
-        last = max(self._waiting, key=lambda item: item.rank)
+        last = max(self._waiting, key=lambda item: item.sort_key)
         self._waiting.remove(last)
         return AdmissionResult((), (*expired, last))
 
     def release(self, now: float) -> AdmissionResult:
-        """Give a slot back and start the most urgent waiting request."""
+        """Release a slot and start the most urgent waiting request.
+
+        :param now: monotonic time in seconds.
+        """
         self._free += 1
         expired = self._expire(now)
         started: list[Ticket] = []
         while self._free > 0 and self._waiting:
-            first = min(self._waiting, key=lambda item: item.rank)
+            first = min(self._waiting, key=lambda item: item.sort_key)
             self._waiting.remove(first)
             self._grant(first)
             started.append(first)
         return AdmissionResult(tuple(started), expired)
 
     def withdraw(self, ticket: Ticket) -> bool:
-        """Remove a waiting request; return False if it did not wait."""
+        """Remove a waiting request.
+
+        :returns: whether it was waiting.
+        """
         if ticket not in self._waiting:
             return False
         self._waiting.remove(ticket)
@@ -85,7 +94,7 @@
         ticket.granted = True
 
     def _expire(self, now: float) -> tuple[Ticket, ...]:
-        late = tuple(item for item in self._waiting if item.deadline <= now)
-        for ticket in late:
+        expired = tuple(item for item in self._waiting if item.deadline <= now)
+        for ticket in expired:
             self._waiting.remove(ticket)
-        return late
+        return expired
--- a/src/lifttrestle/internal/admission/retries.py
+++ b/src/lifttrestle/internal/admission/retries.py
@@ -10,31 +10,31 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Keeps retries to a share of the traffic."""
+"""Limits retries to a fraction of the traffic."""
 
-MAX_SAVED = 10.0
+MAX_BALANCE = 10.0
 
 
 class RetryBudget:
-    """Earns a fraction of a retry with each request.
+    """Credits a fraction of a retry for each request.
 
-    While upstreams fail in numbers, retries would multiply the load on those
-    that are left; with a budget they add at most the share.
+    When many upstreams fail, unlimited retries would multiply the load on the
+    remaining ones. The budget limits the additional load to ``share``.
 
-    :param share: retries earned by each first attempt.
+    :param share: retries credited per first attempt.
     """
 
     def __init__(self, share: float) -> None:
         self._share = share
-        self._saved = MAX_SAVED
+        self._balance = MAX_BALANCE
 
     def note_request(self) -> None:
-        """Earn for a first attempt."""
-        self._saved = min(self._saved + self._share, MAX_SAVED)
+        """Credit the share of a first attempt, up to ``MAX_BALANCE``."""
+        self._balance = min(self._balance + self._share, MAX_BALANCE)
 
     def take(self) -> bool:
-        """Spend a retry; return False if none is left."""
-        if self._saved < 1.0:
+        """Debit one retry; return False if the balance is below one."""
+        if self._balance < 1.0:
             return False
-        self._saved -= 1.0
+        self._balance -= 1.0
         return True
--- a/src/lifttrestle/internal/admission/ticket.py
+++ b/src/lifttrestle/internal/admission/ticket.py
@@ -10,26 +10,27 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""A request that waits for, or holds, one of the router's slots."""
+"""A request that waits for a slot of the router or holds one."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(eq=False)
 class Ticket:
-    """One request's place in the queue.
+    """The entry of a request in the admission queue.
 
-    :ivar priority: 0 goes first.
-    :ivar deadline: the monotonic time after which it is of no use.
-    :ivar granted: whether it holds a slot.
+    :ivar priority: 0 is the most urgent.
+    :ivar deadline: monotonic time in seconds at which the request expires.
+    :ivar sequence: order of arrival, assigned by the queue.
+    :ivar granted: whether the request holds a slot.
     """
 
     priority: int
     deadline: float
-    number: int = 0
+    sequence: int = 0
     granted: bool = False
 
     @property
-    def rank(self) -> tuple[int, int]:
-        """Return what the queue is ordered by."""
-        return (self.priority, self.number)
+    def sort_key(self) -> tuple[int, int]:
+        """Return the sort key: priority first, then order of arrival."""
+        return (self.priority, self.sequence)
--- a/src/lifttrestle/internal/admission/workspaces.py
+++ b/src/lifttrestle/internal/admission/workspaces.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Each workspace's rate and concurrency, shared by live routers."""
+"""Rate and concurrency limits of workspaces, divided by live routers."""
 
 import collections
 import math
@@ -25,15 +25,15 @@
 
 BURST_SECONDS = 2.0
 BUSY_RETRY_SECONDS = 1.0
-# The other live routers, of whose use nothing is told here.
-OTHERS = 'others'
+# Group key of the other live routers, whose usage is not known here.
+OTHER_ROUTERS = 'others'
 
 
 class WorkspaceLimits:
-    """Holds one level and one count for each workspace that calls.
+    """Tracks the request rate and the running requests of each workspace.
 
-    A limit counts for a data centre. Its live routers tell each other nothing
-    of what they use, so that each keeps to its share, an equal one.
+    A limit applies to a data centre. Its live routers do not exchange their
+    usage, so each one enforces an equal share of the limit.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -42,9 +42,12 @@
         self._running: collections.Counter[str] = collections.Counter()
 
     def enter(self, workspace: Workspace, live_routers: int) -> None:
-        """Count a request in.
+        """Count a request that starts.
 
-        :raises RequestRefused: when the workspace is over its share.
+        :param live_routers: live routers of the data centre, this one
+            included.
+        :raises RequestRefused: if the workspace exceeds its share of the
+            rate or of the concurrency.
         """
         routers = max(live_routers, 1)
         allowed = max(workspace.concurrent_requests // routers, 1)
@@ -52,7 +55,7 @@
             raise RequestRefused(
                 ErrorKind.RATE_LIMITED,
                 f'workspace {workspace.name!r} has {allowed} requests running'
-                ' here, which is its share',
+                ' on this router, which is its share',
                 field='concurrent_requests',
                 retry_after=BUSY_RETRY_SECONDS,
             )
@@ -71,7 +74,7 @@
         self._running[workspace.name] += 1
 
     def leave(self, workspace: Workspace) -> None:
-        """Count a request out."""
+        """Count a request that has ended."""
         self._running[workspace.name] -= 1
         if self._running[workspace.name] <= 0:
             del self._running[workspace.name]
@@ -86,7 +89,7 @@
         ):
             others = OtherRouters()
             if routers > 1:
-                others.set_groups({OTHERS: routers - 1}, -math.inf)
+                others.set_groups({OTHER_ROUTERS: routers - 1}, -math.inf)
             level = SharedLevel(
                 cap, cap.capacity, others, self._clock.monotonic()
             )
--- a/src/lifttrestle/internal/exchange/attempts.py
+++ b/src/lifttrestle/internal/exchange/attempts.py
@@ -10,11 +10,11 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""The one loop in which a request is tried at upstreams.
+"""The retry loop for requests to upstreams.
 
-Whatever a request speaks and whoever may serve it, its attempts go like this:
-choose, try, and after a failure judge whether it may go elsewhere. What
-differs stands behind ``AttemptPlan``.
+The loop is the same for all protocols and kinds of upstreams: choose an
+upstream, attempt the request and, after a failure, decide whether to retry.
+Subclasses of ``AttemptPlan`` implement these steps.
 """
 
 import abc
@@ -31,7 +31,7 @@
 
 Chosen = TypeVar('Chosen')
 Outcome = TypeVar('Outcome')
-# The failures of an attempt; every other exception ends the request.
+# Exceptions that fail an attempt. Any other exception ends the request.
 ATTEMPT_FAILURES = (
     UpstreamConnectFailed,
     UpstreamDeclined,
@@ -39,50 +39,52 @@
     UpstreamLost,
     WrongAnswer,
 )
-# After these nothing has run at the upstream.
+# Exceptions after which the upstream has not executed the request.
 NOT_RUN_FAILURES = (UpstreamConnectFailed, UpstreamDeclined)
 
 
 class FailureAction(enum.Enum):
-    """What follows a failed attempt, unless the request is refused."""
+    """What to do after a failed attempt."""
 
     RETRY = 'retry'
     END = 'end'
 
 
 class AttemptPlan(abc.ABC, Generic[Chosen, Outcome]):
-    """How the requests of one kind are tried."""
+    """The steps of the retry loop for one kind of request."""
 
     @abc.abstractmethod
     async def choose(self) -> Chosen:
-        """Return whom to ask next.
+        """Return the target of the next attempt.
 
-        :raises RequestRefused: if there is no one, or nothing may be sent.
+        :raises RequestRefused: if no target is available, or the request
+            may not be sent.
         """
 
     @abc.abstractmethod
     async def attempt(self, chosen: Chosen) -> Outcome:
-        """Ask, and pass the answer on or return it.
+        """Send the request, and forward the answer or return it.
 
-        :raises LifttrestleError: one of ``ATTEMPT_FAILURES``.
+        :raises LifttrestleError: an instance of one of ``ATTEMPT_FAILURES``.
         """
 
     @abc.abstractmethod
     async def handle_failure(
         self, chosen: Chosen, error: LifttrestleError
     ) -> FailureAction:
-        """Return what follows a failure.
+        """Decide whether to retry after a failed attempt.
 
-        :raises RequestRefused: if the request is given up.
+        :raises RequestRefused: if the request must not be retried.
         """
 
 
 async def run_attempts(plan: AttemptPlan[Chosen, Outcome]) -> Outcome | None:
-    """Try until an attempt succeeds; return its outcome.
+    """Attempt a request until an attempt succeeds.
 
-    None is returned where a failed attempt ended the request after all.
-
-    :raises RequestRefused: if the request is given up.
+    :returns: the outcome of the successful attempt, or None if a failed one
+        ended the request with ``FailureAction.END``.
+    :raises RequestRefused: if no target is available or the request must not
+        be retried.
     """
     while True:
         chosen = await plan.choose()
--- a/src/lifttrestle/internal/exchange/progress.py
+++ b/src/lifttrestle/internal/exchange/progress.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""How far a request has come, and what may truthfully be said of it."""
+"""A state machine that tracks whether a request may have been executed."""
 
 import enum
 
@@ -18,7 +18,7 @@
 
 
 class RequestState(enum.Enum):
-    """The states of a request, in order."""
+    """The states of a request, in order of progress."""
 
     RECEIVED = 'received'
     ADMITTED = 'admitted'
@@ -29,7 +29,7 @@
 
 
 class RequestEvent(enum.Enum):
-    """What moves a request on."""
+    """Events that change the state of a request."""
 
     ADMIT = 'admit'
     CLAIM = 'claim'
@@ -41,8 +41,9 @@
 
 S = RequestState
 E = RequestEvent
-# A request that the upstream declined unread is back where it was before it
-# was sent. Sent again, it stays in the state that admits most.
+# A request that the upstream declined without processing it returns to the
+# state before it was sent. A retry after the first byte of an answer does not
+# leave FIRST_BYTE.
 TRANSITIONS: dict[tuple[RequestState, RequestEvent], RequestState] = {
     (S.RECEIVED, E.ADMIT): S.ADMITTED,
     (S.ADMITTED, E.CLAIM): S.CLAIMED,
@@ -68,10 +69,11 @@
 
 
 class RequestProgress:
-    """One request's state.
+    """Tracks the state of a request.
 
-    :ivar detached: the work goes on without the one who tells the caller of
-        it: what has not run may run yet.
+    :ivar detached: the request continues in the background although the
+        handler that answers the caller was cancelled. A request that was not
+        executed so far may thus still be executed.
     """
 
     def __init__(self) -> None:
@@ -80,21 +82,25 @@
         self.detached = False
 
     def apply(self, event: RequestEvent) -> None:
-        """Move on; an event that the table lacks is a programming error."""
-        before = self.state
+        """Apply an event.
+
+        :raises KeyError: if ``TRANSITIONS`` has no entry for the event, which
+            is a programming error.
+        """
+        previous = self.state
         if event is RequestEvent.SEND:
             self._sends += 1
         if event is RequestEvent.DECLINED and self._sends > 1:
-            # An earlier attempt was lost and may have run.
+            # An earlier attempt was lost and may have been executed.
             self._sends -= 1
             return
         if event is RequestEvent.DECLINED:
             self._sends = 0
-        self.state = TRANSITIONS[before, event]
+        self.state = TRANSITIONS[previous, event]
 
     @property
     def execution(self) -> Execution:
-        """Return whether the request ran, as far as is known."""
+        """Return whether the request was executed, as far as is known."""
         if self.detached and self.state is not RequestState.ENDED:
             return Execution.UNKNOWN
         return EXECUTIONS[self.state]
--- a/src/lifttrestle/internal/routing/baselines.py
+++ b/src/lifttrestle/internal/routing/baselines.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""The policies that ours is measured against."""
+"""Baseline routing policies that replays compare other policies with."""
 
 import itertools
 import random
@@ -22,7 +22,7 @@
 
 
 class RandomPolicy(Policy):
-    """Picks any upstream."""
+    """Picks a candidate uniformly at random."""
 
     def __init__(self, source: random.Random) -> None:
         self._source = source
@@ -30,26 +30,26 @@
     def choose(
         self, prompt: Prompt, candidates: list[Candidate], now: float
     ) -> Choice:
-        """Return a random candidate."""
+        """Return one of the candidates, each with equal probability."""
         return Choice(self._source.choice(candidates).name, 'random')
 
 
 class RoundRobinPolicy(Policy):
-    """Picks the upstreams in turn."""
+    """Cycles through the candidates."""
 
     def __init__(self) -> None:
-        self._turns = itertools.count()
+        self._counter = itertools.count()
 
     def choose(
         self, prompt: Prompt, candidates: list[Candidate], now: float
     ) -> Choice:
-        """Return the next candidate."""
-        turn = next(self._turns) % len(candidates)
-        return Choice(candidates[turn].name, 'in turn')
+        """Return the next candidate of the cycle."""
+        index = next(self._counter) % len(candidates)
+        return Choice(candidates[index].name, 'in turn')
 
 
 class LeastInFlightPolicy(Policy):
-    """Picks the upstream with the fewest requests of this router."""
+    """Picks the upstream with the fewest in-flight requests of this router."""
 
     def __init__(self, source: random.Random) -> None:
         self._source = source
@@ -57,7 +57,7 @@
     def choose(
         self, prompt: Prompt, candidates: list[Candidate], now: float
     ) -> Choice:
-        """Return a candidate with the least in flight."""
+        """Return a candidate with the fewest requests; break ties randomly."""
         least = min(item.in_flight for item in candidates)
         ties = [item for item in candidates if item.in_flight == least]
         return Choice(self._source.choice(ties).name, 'least in flight')
--- a/src/lifttrestle/internal/routing/candidate.py
+++ b/src/lifttrestle/internal/routing/candidate.py
@@ -10,20 +10,21 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""An upstream as a routing policy sees it."""
+"""The view that routing policies have of an upstream."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True)
 class Candidate:
-    """One upstream that may serve the request.
+    """An upstream that is eligible to serve the request.
 
-    :ivar incarnation: ties evidence to a process; it changes on restart.
-    :ivar distance_seconds: the extra network time to reach it.
-    :ivar in_flight: requests of this router that it works on.
-    :ivar reported: running and waiting requests by its last report.
-    :ivar slots: requests that it works on at the same time.
+    :ivar incarnation: identifies the process; it changes on restart, so that
+        cache evidence of an earlier process no longer applies.
+    :ivar distance_seconds: additional network latency to the upstream.
+    :ivar in_flight: requests of this router in progress at the upstream.
+    :ivar reported: running and queued requests in its last report.
+    :ivar slots: requests that it processes concurrently.
     """
 
     name: str
@@ -36,5 +37,8 @@
 
     @property
     def load(self) -> int:
-        """Return the larger of the two views of its load."""
+        """Return the larger of the in-flight and the reported requests.
+
+        The report may be outdated; the local count omits other routers.
+        """
         return max(self.in_flight, self.reported)
--- a/src/lifttrestle/internal/routing/choice.py
+++ b/src/lifttrestle/internal/routing/choice.py
@@ -10,17 +10,17 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""The outcome of one routing decision."""
+"""The result of a routing decision."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True)
 class Choice:
-    """The chosen upstream, why, and what the policy expects of it.
+    """The chosen upstream with the reason and the expected outcome.
 
-    :ivar expected_seconds: to the first token.
-    :ivar expected_cached: tokens of the prompt that it should hold.
+    :ivar expected_seconds: estimated time to the first token.
+    :ivar expected_cached: prompt tokens expected in its prefix cache.
     """
 
     name: str
--- a/src/lifttrestle/internal/routing/draws.py
+++ b/src/lifttrestle/internal/routing/draws.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Candidates that policies draw at random."""
+"""Random sampling of candidates for routing policies."""
 
 import random
 
@@ -20,10 +20,13 @@
 def sample_nearest(
     source: random.Random, candidates: list[Candidate], count: int
 ) -> list[Candidate]:
-    """Return up to ``count`` of the candidates that are nearest."""
+    """Return a random sample of the candidates at the smallest distance.
+
+    :returns: at most ``count`` candidates.
+    """
     nearest = min(item.distance_seconds for item in candidates)
-    near = [item for item in candidates if item.distance_seconds == nearest]
-    return source.sample(near, min(count, len(near)))
+    closest = [item for item in candidates if item.distance_seconds == nearest]
+    return source.sample(closest, min(count, len(closest)))
 
 
 def sample_non_homes(
@@ -32,6 +35,10 @@
     homes: list[str],
     count: int,
 ) -> list[Candidate]:
-    """Draw up to ``count`` candidates; return those that are no homes."""
-    drawn = source.sample(candidates, min(count, len(candidates)))
-    return [item for item in drawn if item.name not in homes]
+    """Sample ``count`` candidates and return those that are not homes.
+
+    :param homes: names of upstreams to exclude.
+    :returns: at most ``count`` candidates, possibly none.
+    """
+    sampled = source.sample(candidates, min(count, len(candidates)))
+    return [item for item in sampled if item.name not in homes]
--- a/src/lifttrestle/internal/routing/evidence.py
+++ b/src/lifttrestle/internal/routing/evidence.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""What answers have shown about the caches of upstreams."""
+"""Tracks the prefix cache contents that answers of upstreams imply."""
 
 import collections
 
@@ -21,41 +21,49 @@
 
 
 class CacheEvidence:
-    """Remembers which prefix levels an engine incarnation has computed.
+    """Records which prefix levels each engine incarnation has computed.
 
-    An entry ages out, since engines evict within seconds, and the whole is
-    bounded: the entries that were used longest ago go first.
+    Entries expire, since engines evict cached prefixes within seconds. The
+    number of entries is bounded; the least recently recorded ones are dropped
+    first.
+
+    :param max_age_seconds: age at which an entry no longer counts.
+    :param max_entries: maximum number of entries.
     """
 
     def __init__(self, max_age_seconds: float, max_entries: int) -> None:
         self._max_age = max_age_seconds
         self._max_entries = max_entries
-        self._seen: collections.OrderedDict[Key, float] = (
+        self._computed_at: collections.OrderedDict[Key, float] = (
             collections.OrderedDict()
         )
 
     def __len__(self) -> int:
-        """Return the number of entries kept."""
-        return len(self._seen)
+        """Return the number of entries, including expired ones."""
+        return len(self._computed_at)
 
     def estimate_cached_tokens(
         self, prompt: Prompt, candidate: Candidate, now: float
     ) -> int:
-        """Return how many tokens of the prompt the candidate should hold."""
+        """Return how many prompt tokens the candidate should have cached.
+
+        :returns: the length of the longest prefix level with an unexpired
+            entry, or 0.
+        """
         for level in reversed(prompt.levels):
             key = (candidate.name, candidate.incarnation, level.digest)
-            seen_at = self._seen.get(key)
-            if seen_at is not None and now - seen_at <= self._max_age:
+            computed_at = self._computed_at.get(key)
+            if computed_at is not None and now - computed_at <= self._max_age:
                 return level.tokens
         return 0
 
     def note_computed(
         self, prompt: Prompt, candidate: Candidate, now: float
     ) -> None:
-        """Note that the candidate has just read the whole prompt."""
+        """Record that the candidate has just computed the whole prompt."""
         for level in prompt.levels:
             key = (candidate.name, candidate.incarnation, level.digest)
-            self._seen[key] = now
-            self._seen.move_to_end(key)
-        while len(self._seen) > self._max_entries:
-            self._seen.popitem(last=False)
+            self._computed_at[key] = now
+            self._computed_at.move_to_end(key)
+        while len(self._computed_at) > self._max_entries:
+            self._computed_at.popitem(last=False)
--- a/src/lifttrestle/internal/routing/levels.py
+++ b/src/lifttrestle/internal/routing/levels.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Derives the prefix levels of a request from its message boundaries."""
+"""Derives prefix levels and cache salts of requests."""
 
 import hashlib
 
@@ -20,18 +20,23 @@
 CHARS_PER_TOKEN = 4
 MAX_LEVELS = 4
 DIGEST_BYTES = 8
-# Where a single text has no message boundaries, it is cut at these lengths.
-TEXT_CUTS = (1024, 8192, 32768)
+# A single text has no message boundaries. It is split at these offsets, in
+# characters.
+SPLIT_OFFSETS = (1024, 8192, 32768)
 
 
 def derive_prompt(salt: str, parts: list[str], cache_key: str = '') -> Prompt:
-    """Return the prompt of a request.
+    """Return the prefix levels and the estimated length of a prompt.
 
-    :param salt: derived from the workspace and the version of the weights.
-    :param parts: the texts of the messages in order, or one single text.
-    :param cache_key: the caller's own hint; it becomes the outermost level.
+    A level ends at each message boundary but the last, up to ``MAX_LEVELS``
+    levels. Lengths are estimated at ``CHARS_PER_TOKEN``.
+
+    :param salt: result of ``derive_salt``; it starts every digest.
+    :param parts: texts of the messages in order, or a single text.
+    :param cache_key: cache hint of the caller; if not empty, it forms the
+        outermost level.
     """
-    pieces = _cut_text(parts[0]) if len(parts) == 1 else parts
+    pieces = _split_text(parts[0]) if len(parts) == 1 else parts
     digest = hashlib.blake2b(salt.encode(), digest_size=DIGEST_BYTES)
     levels: list[PrefixLevel] = []
     if cache_key:
@@ -50,15 +55,19 @@
 
 
 def derive_salt(workspace: str, model: str, version: str) -> str:
-    """Return the cache salt that keeps workspaces and weights apart."""
+    """Return the cache salt of a workspace, a model and its version.
+
+    The salt prevents workspaces, and versions of the weights, from sharing
+    cached prefixes.
+    """
     text = f'{workspace}\0{model}\0{version}'
     return hashlib.sha256(text.encode()).hexdigest()[:32]
 
 
-def _cut_text(text: str) -> list[str]:
+def _split_text(text: str) -> list[str]:
     pieces = []
     start = 0
-    for end in TEXT_CUTS:
+    for end in SPLIT_OFFSETS:
         if len(text) <= end:
             break
         pieces.append(text[start:end])
--- a/src/lifttrestle/internal/routing/nested.py
+++ b/src/lifttrestle/internal/routing/nested.py
@@ -10,13 +10,14 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Our policy: computed homes for nested prefixes, corrected by evidence.
-
-The outermost prefix ranks all upstreams and keeps some as its homes; the next
-level ranks only those. So an upper prefix is computed on few engines, and
-every router finds the same ranking without a message. The innermost level's
-first home is taken unless its load costs more than the prefill that another
-upstream would have to do.
+"""Prefix-aware routing by nested rendezvous hashing.
+
+The outermost prefix level ranks all upstreams and selects the first ones as
+its homes; each further level ranks only the homes of the level above. An outer
+prefix is thus computed on few engines, and all routers derive the same ranking
+without communication. The first home of the innermost level is chosen unless
+its load costs more than the prefill at another upstream. Answers of upstreams
+provide evidence of what their caches hold, which corrects the estimates.
 """
 
 import dataclasses
@@ -36,15 +37,21 @@
 
 @dataclasses.dataclass(frozen=True)
 class NestedSettings:
-    """The constants of the policy, chosen by replay.
-
-    :ivar upper_homes: how many homes an outer level keeps.
-    :ivar service_seconds: the time a request holds a slot.
-    :ivar load_penalty_seconds: what each running request is taken to cost.
-        A larger price, such as the prefill that waits, makes routers leave
-        homes that are busy because others had left theirs.
-    :ivar home_prior: how likely the first home holds a prefix of which this
-        router has no evidence: others may have sent it there.
+    """Parameters of the policy, tuned by replaying traces.
+
+    :ivar upper_homes: number of homes of a prefix level.
+    :ivar service_seconds: time for which a request occupies a slot.
+    :ivar load_penalty_seconds: estimated cost of each running request. With a
+        larger penalty, such as the pending prefill, load that was diverted
+        from one home makes further homes busy, and routers divert from these
+        in turn.
+    :ivar home_prior: probability that the first home has cached a prefix for
+        which this router has no evidence; other routers may have sent it
+        there.
+    :ivar random_choices: number of candidates sampled besides the homes.
+    :ivar evidence_seconds: age at which cache evidence expires.
+    :ivar evidence_entries: maximum number of cache evidence entries.
+    :ivar ranking_entries: maximum number of cached rankings.
     """
 
     upper_homes: int = 8
@@ -58,7 +65,7 @@
 
 
 class NestedPolicy(Policy):
-    """Nested rendezvous hashing with evidence from answers."""
+    """Chooses by nested rendezvous hashing and cache evidence."""
 
     def __init__(
         self, source: random.Random, settings: NestedSettings | None = None
@@ -73,19 +80,19 @@
     def choose(
         self, prompt: Prompt, candidates: list[Candidate], now: float
     ) -> Choice:
-        """Return the candidate with the least expected cost."""
+        """Return the candidate with the lowest estimated cost."""
         by_name = {item.name: item for item in candidates}
         if not prompt.levels:
-            return self._spread(candidates, now)
+            return self._choose_nearest(candidates, now)
         homes = self._rank_homes(prompt, tuple(by_name))
-        first = self._expect(prompt, by_name[homes[0]], now, is_first=True)
+        first = self._estimate(prompt, by_name[homes[0]], now, is_first=True)
         others = [by_name[name] for name in homes[1:]]
         others += sample_non_homes(
             self._source, candidates, homes, self._settings.random_choices
         )
         if not others:
             return first
-        choices = [self._expect(prompt, item, now) for item in others]
+        choices = [self._estimate(prompt, item, now) for item in others]
         best = min(choices, key=lambda item: item.expected_seconds)
         return min(first, best, key=lambda item: item.expected_seconds)
 
@@ -96,17 +103,22 @@
         cached_tokens: int,
         now: float,
     ) -> None:
-        """Remember what the candidate holds after its answer."""
+        """Record that the candidate has computed the prompt."""
         self._evidence.note_computed(prompt, candidate, now)
 
-    def _spread(self, candidates: list[Candidate], now: float) -> Choice:
-        """Return the better of two drawn at random among the nearest."""
-        drawn = sample_nearest(
+    def _choose_nearest(
+        self, candidates: list[Candidate], now: float
+    ) -> Choice:
+        """Return the cheapest of a random sample of the nearest candidates.
+
+        This is for requests without prefix levels.
+        """
+        sampled = sample_nearest(
             self._source, candidates, self._settings.random_choices
         )
         choices = [
-            self._expect(NO_PROMPT, item, now, reason='least loaded')
-            for item in drawn
+            self._estimate(NO_PROMPT, item, now, reason='least loaded')
+            for item in sampled
         ]
         return min(choices, key=lambda item: item.expected_seconds)
 
@@ -119,7 +131,7 @@
             : self._settings.upper_homes
         ]
 
-    def _expect(
+    def _estimate(
         self,
         prompt: Prompt,
         candidate: Candidate,
@@ -128,16 +140,16 @@
         reason: str = 'home is busy',
     ) -> Choice:
         cached = self._evidence.estimate_cached_tokens(prompt, candidate, now)
-        likely = float(cached)
+        expected_cached = float(cached)
         if is_first:
             reason = 'home'
             prior = self._settings.home_prior * prompt.levels[-1].tokens
-            likely = max(likely, prior)
-        missing = max(prompt.tokens - likely, 0.0)
-        beyond = max(candidate.load + 1 - candidate.slots, 0)
+            expected_cached = max(expected_cached, prior)
+        uncached = max(prompt.tokens - expected_cached, 0.0)
+        excess = max(candidate.load + 1 - candidate.slots, 0)
         seconds = (
-            missing / candidate.prefill_tokens_per_second
-            + beyond / candidate.slots * self._settings.service_seconds
+            uncached / candidate.prefill_tokens_per_second
+            + excess / candidate.slots * self._settings.service_seconds
             + candidate.load * self._settings.load_penalty_seconds
             + candidate.distance_seconds
         )
--- a/src/lifttrestle/internal/routing/policy.py
+++ b/src/lifttrestle/internal/routing/policy.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""The interface of routing policies; they do no I/O."""
+"""The interface of routing policies, which perform no I/O."""
 
 import abc
 
@@ -20,13 +20,17 @@
 
 
 class Policy(abc.ABC):
-    """Chooses among upstreams that may all serve the request."""
+    """Chooses one of the upstreams that are eligible for a request."""
 
     @abc.abstractmethod
     def choose(
         self, prompt: Prompt, candidates: list[Candidate], now: float
     ) -> Choice:
-        """Return the choice among ``candidates``, which is not empty."""
+        """Return the choice for a request.
+
+        :param candidates: eligible upstreams, at least one.
+        :param now: monotonic time in seconds.
+        """
 
     def observe(
         self,
@@ -35,4 +39,8 @@
         cached_tokens: int,
         now: float,
     ) -> None:
-        """Learn from an answer how much of its prompt was cached."""
+        """Process an answer; the default implementation does nothing.
+
+        :param cached_tokens: prompt tokens that the candidate had cached.
+        :param now: monotonic time in seconds.
+        """
--- a/src/lifttrestle/internal/routing/prompt.py
+++ b/src/lifttrestle/internal/routing/prompt.py
@@ -10,18 +10,18 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""A prompt as routing sees it: hashes of its prefixes and lengths."""
+"""Prompts as digests and lengths of their prefixes."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True)
 class PrefixLevel:
-    """One nested prefix.
+    """A prefix of a prompt.
 
-    :ivar digest: covers the workspace, the weights and all text up to the
-        end of this level.
-    :ivar tokens: the estimated length in tokens up to there.
+    :ivar digest: hash of the workspace, the version of the weights and the
+        text up to the end of this level.
+    :ivar tokens: estimated length of the prefix in tokens.
     """
 
     digest: bytes
@@ -30,9 +30,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class Prompt:
-    """The nested prefixes of a prompt, outermost first.
+    """The nested prefixes of a prompt.
 
-    :ivar tokens: the estimated length of the whole prompt in tokens.
+    :ivar levels: prefixes, the outermost (shortest) first.
+    :ivar tokens: estimated length of the whole prompt in tokens.
     """
 
     levels: tuple[PrefixLevel, ...]
--- a/src/lifttrestle/internal/routing/ranking_cache.py
+++ b/src/lifttrestle/internal/routing/ranking_cache.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""A bounded memory of rankings, since ranking hashes every name."""
+"""A bounded cache of rankings, since a ranking hashes every name."""
 
 import collections
 
@@ -18,7 +18,7 @@
 
 
 class RankingCache:
-    """Ranks names and remembers the rankings that were made last."""
+    """Ranks names and caches the results; the oldest are evicted first."""
 
     def __init__(self, max_entries: int) -> None:
         self._max_entries = max_entries
@@ -27,7 +27,7 @@
         )
 
     def rank(self, digest: bytes, names: list[str]) -> list[str]:
-        """Return ``names`` in the order in which ``digest`` prefers them."""
+        """Return the rendezvous ranking of ``names`` for ``digest``."""
         key = (digest, tuple(names))
         ranking = self._rankings.get(key)
         if ranking is None:
--- a/src/lifttrestle/internal/routing/rendezvous.py
+++ b/src/lifttrestle/internal/routing/rendezvous.py
@@ -10,15 +10,17 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Rendezvous hashing: every router ranks upstreams alike, unasked."""
+"""Rendezvous hashing: routers rank names alike without communication."""
 
 import hashlib
 
 
 def rank_names(digest: bytes, names: list[str]) -> list[str]:
-    """Return ``names`` in the order in which ``digest`` prefers them.
+    """Return ``names`` by descending rendezvous score for ``digest``.
 
-    Removing a name leaves the order of the others as it was.
+    Removing a name does not change the order of the others.
+
+    :param digest: hash key of at most 64 bytes.
     """
     scores = {name: _score(digest, name) for name in names}
     return sorted(names, key=scores.__getitem__, reverse=True)
--- a/tests/cover/test_admission.py
+++ b/tests/cover/test_admission.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""The admission queue, rates, retry budget and circuit breaker."""
+"""Tests of the admission queue, rates, retry budget and circuit breaker."""
 
 import asyncio
 import datetime
@@ -40,20 +40,20 @@
         queue = AdmissionQueue(1, 10)
         running = Ticket(5, 100)
         self.assertEqual(queue.offer(running, 0).started, (running,))
-        festival, fire, second = Ticket(7, 100), Ticket(0, 100), Ticket(0, 100)
-        for ticket in (festival, fire, second):
+        low, urgent, second = Ticket(7, 100), Ticket(0, 100), Ticket(0, 100)
+        for ticket in (low, urgent, second):
             self.assertEqual(queue.offer(ticket, 0).started, ())
         order = [queue.release(1).started[0] for _ in range(3)]
-        self.assertEqual(order, [fire, second, festival])
+        self.assertEqual(order, [urgent, second, low])
 
     def test_full_queue_turns_the_least_urgent_away_at_once(self) -> None:
         queue = AdmissionQueue(1, 1)
         queue.offer(Ticket(5, 100), 0)
-        festival, fire = Ticket(7, 100), Ticket(0, 100)
-        queue.offer(festival, 0)
-        self.assertEqual(queue.offer(fire, 0).refused, (festival,))
-        late = Ticket(9, 100)
-        self.assertEqual(queue.offer(late, 0).refused, (late,))
+        low, urgent = Ticket(7, 100), Ticket(0, 100)
+        queue.offer(low, 0)
+        self.assertEqual(queue.offer(urgent, 0).refused, (low,))
+        lowest = Ticket(9, 100)
+        self.assertEqual(queue.offer(lowest, 0).refused, (lowest,))
 
     def test_expired_never_starts(self) -> None:
         queue = AdmissionQueue(1, 10)
@@ -61,8 +61,8 @@
         short, long = Ticket(0, 1), Ticket(5, 100)
         queue.offer(short, 0)
         queue.offer(long, 0)
-        step = queue.release(2)
-        self.assertEqual((step.started, step.refused), ((long,), (short,)))
+        result = queue.release(2)
+        self.assertEqual((result.started, result.refused), ((long,), (short,)))
 
 
 class TestGate(unittest.IsolatedAsyncioTestCase):
@@ -73,7 +73,7 @@
         for task in tasks[::3]:
             await asyncio.sleep(0)
             task.cancel()
-        # A lost slot would leave the others waiting for ever.
+        # If a slot were lost, the remaining tasks would wait forever.
         async with asyncio.timeout(5):
             await asyncio.gather(*tasks, return_exceptions=True)
             for _ in range(2):
@@ -128,7 +128,7 @@
                 continue
             limits.leave(workspace)
             passed += 1
-        # A fourth of what is saved up in two seconds, and of ten seconds.
+        # A quarter of the two-second burst and of the rate over ten seconds.
         self.assertAlmostEqual(passed, 120, delta=3)
 
     def test_retries_stay_a_share_of_the_traffic(self) -> None:
@@ -160,16 +160,16 @@
         breaker = Breaker()
         now = 0.0
         self.fail_until_open(breaker, now)
-        waits = []
+        delays = []
         for _ in range(10):
             started = now
             while not breaker.allows(now):
                 now += 0.25
-            waits.append(now - started)
+            delays.append(now - started)
             breaker.note_sent(now)
             breaker.note_failure(now)
-        self.assertEqual(waits, sorted(waits))
-        self.assertEqual(waits[-1], MAX_OPEN_SECONDS)
+        self.assertEqual(delays, sorted(delays))
+        self.assertEqual(delays[-1], MAX_OPEN_SECONDS)
 
     def test_trial_whose_outcome_is_lost_is_made_again(self) -> None:
         breaker = Breaker()
--- a/tests/cover/test_nested_policy.py
+++ b/tests/cover/test_nested_policy.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""The nested policy: homes, evidence and the way out of a crowd."""
+"""Tests of the nested policy: homes, cache evidence and busy upstreams."""
 
 import random
 import unittest
@@ -38,21 +38,22 @@
 def make_warm_policy(
     prompt: Prompt, candidates: list[Candidate]
 ) -> NestedPolicy:
-    """Return a policy that has seen the prompt answered by its home."""
+    """Return a policy that has observed the prompt's home answer it."""
     policy = NestedPolicy(random.Random(1))
     choice = policy.choose(prompt, candidates, 0.0)
-    chosen = next(i for i in candidates if i.name == choice.name)
+    chosen = next(c for c in candidates if c.name == choice.name)
     policy.observe(prompt, chosen, 0, 0.0)
     return policy
 
 
 class TestNestedPolicy(unittest.TestCase):
     def test_regression_cold_home_wins_over_a_drawn_upstream(self) -> None:
-        # A drawn upstream had no rank penalty, so it beat a cold home that
-        # was not the first, and the second request missed the cache.
+        # A sampled upstream without a penalty for its rank was preferred to a
+        # home other than the first that had not cached the prefix, so that
+        # the next request with the prefix missed the cache.
         candidates = [
-            Candidate(f'{place}-{number}', 'one', 32, 8000.0, 0, 0, distance)
-            for place, distance in (('here', 0.0), ('there', 0.003))
+            Candidate(f'{site}-{number}', 'one', 32, 8000.0, 0, 0, distance)
+            for site, distance in (('here', 0.0), ('there', 0.003))
             for number in (1, 2)
         ]
         for tenant in range(50):
@@ -89,20 +90,22 @@
             derive_prompt('salt', [f'tenant {number}', 'q'])
             for number in range(200)
         ]
-        all_of_them = make_candidates()
+        candidates = make_candidates()
         before = [
-            policy.choose(prompt, all_of_them, 0.0).name for prompt in prompts
+            policy.choose(prompt, candidates, 0.0).name for prompt in prompts
+        ]
+        remaining = candidates[1:]
+        after = [
+            policy.choose(prompt, remaining, 0.0).name for prompt in prompts
         ]
-        left = all_of_them[1:]
-        after = [policy.choose(prompt, left, 0.0).name for prompt in prompts]
         for old, new in zip(before, after):
-            if old != all_of_them[0].name:
+            if old != candidates[0].name:
                 self.assertEqual(old, new)
 
     def test_busy_homes_are_left(self) -> None:
         policy = NestedPolicy(random.Random(1))
         home = policy.choose(make_prompt('q'), make_candidates(), 0.0).name
-        crowded = [
+        busy = [
             Candidate(
                 item.name,
                 'one',
@@ -112,26 +115,28 @@
             )
             for item in make_candidates()
         ]
-        choice = policy.choose(make_prompt('q'), crowded, 0.0)
+        choice = policy.choose(make_prompt('q'), busy, 0.0)
         self.assertNotEqual(choice.name, home)
 
     def test_evidence_of_a_dead_incarnation_counts_for_nothing(self) -> None:
         candidates = make_candidates()
         prompt = make_prompt('q')
         policy = make_warm_policy(prompt, candidates)
-        warm = policy.choose(prompt, candidates, 1.0)
-        self.assertGreater(warm.expected_cached, 0)
-        reborn = [
+        choice = policy.choose(prompt, candidates, 1.0)
+        self.assertGreater(choice.expected_cached, 0)
+        restarted = [
             Candidate(item.name, 'two', 32, 8000.0) for item in candidates
         ]
-        self.assertEqual(policy.choose(prompt, reborn, 1.0).expected_cached, 0)
+        self.assertEqual(
+            policy.choose(prompt, restarted, 1.0).expected_cached, 0
+        )
 
     def test_evidence_ages_out(self) -> None:
         candidates = make_candidates()
         prompt = make_prompt('q')
         policy = make_warm_policy(prompt, candidates)
-        late = policy.choose(prompt, candidates, 3600.0)
-        self.assertEqual(late.expected_cached, 0)
+        choice = policy.choose(prompt, candidates, 3600.0)
+        self.assertEqual(choice.expected_cached, 0)
 
     def test_workspaces_and_weights_never_share_a_level(self) -> None:
         levels = [
--- a/tests/cover/test_progress.py
+++ b/tests/cover/test_progress.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""What may be said of a request follows from how far it has come."""
+"""Tests that a request is reported as not run only if it was not run."""
 
 import unittest
 
@@ -31,18 +31,18 @@
         self, events: list[RequestEvent]
     ) -> None:
         progress = RequestProgress()
-        # Attempts that may have reached an upstream and were not declined.
-        doubtful = 0
+        # Number of attempts sent to an upstream and not declined.
+        uncertain = 0
         for event in events:
             if (progress.state, event) not in TRANSITIONS:
                 continue
             progress.apply(event)
             if event is RequestEvent.SEND:
-                doubtful += 1
+                uncertain += 1
             if event is RequestEvent.DECLINED:
-                doubtful -= 1
-            said = progress.execution is Execution.NOT_RUN
-            self.assertFalse(said and doubtful, events)
+                uncertain -= 1
+            reported_not_run = progress.execution is Execution.NOT_RUN
+            self.assertFalse(reported_not_run and uncertain, events)
 
 
 if __name__ == '__main__':
--- a/tests/cover/test_retry_model.py
+++ b/tests/cover/test_retry_model.py
@@ -10,18 +10,18 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""A model of requests that are sent again by several routers.
+"""A stateful model of requests that several routers retry.
 
-Routers serve requests whose attempts are lost, turned away or answered. None
-may say of a request that it has not run while an upstream may have it, and
-all together send again no more than one budget allows in any window.
+Attempts are lost, declined or answered. A router must not report a request as
+not run while an upstream may execute it, and the retries of all routers must
+stay within a common budget in any window.
 
-| state of a request | after | may be said |
+| state of a request | reached after | reported execution |
 |---|---|---|
-| admitted | a route and a key were found; all sends turned away | not run |
-| sending | a send that was not turned away | unknown |
-| first byte | an answer began | unknown |
-| ended | the answer is whole | ran |
+| admitted | a route and a key were found; all sends were declined | not run |
+| sending | a send that was not declined | unknown |
+| first byte | the first byte of an answer | unknown |
+| ended | a complete answer | ran |
 """
 
 import unittest
@@ -46,13 +46,16 @@
 
 
 class Request:
-    """A request with what really happened to it."""
+    """A request with its actual history.
+
+    :ivar may_have_run: sends that the upstream did not decline.
+    """
 
     def __init__(self, progress):
         self.progress = progress
         self.progress.apply(RequestEvent.ADMIT)
         self.sends = 0
-        self.under_way = False
+        self.in_progress = False
         self.may_have_run = 0
 
 
@@ -68,8 +71,9 @@
             self.budget_class(PROMISES, self.clock) for _ in range(ROUTERS)
         ]
         self.open = [[] for _ in range(ROUTERS)]
-        # Each router counts those that are there, and some that are not.
-        self.counted = [ROUTERS] * ROUTERS
+        # The number of live routers that each router assumes: all that exist,
+        # and possibly some that do not.
+        self.assumed_routers = [ROUTERS] * ROUTERS
         self.requests = []
         self.retries = []
 
@@ -82,7 +86,7 @@
 
     @stateful.rule(index=ROUTER, extra=st.integers(0, 3))
     def count_high(self, index, extra):
-        self.counted[index] = ROUTERS + extra
+        self.assumed_routers[index] = ROUTERS + extra
 
     @stateful.rule(seconds=st.sampled_from((0.2, 1.0, 5.1, 9.9)))
     def wait(self, seconds):
@@ -91,24 +95,24 @@
     @stateful.rule(index=ROUTER)
     def send_all(self, index):
         for request in self.open[index]:
-            if not request.under_way:
+            if not request.in_progress:
                 self.send(index, request)
 
     def send(self, index, request):
         if request.sends:
-            if not self.budgets[index].take(self.counted[index]):
+            if not self.budgets[index].take(self.assumed_routers[index]):
                 return
             self.retries.append(self.clock.monotonic())
         request.sends += 1
-        request.under_way = True
+        request.in_progress = True
         request.may_have_run += 1
         request.progress.apply(RequestEvent.SEND)
 
     @stateful.rule(index=ROUTER, declined=st.booleans())
     def fail_one(self, index, declined):
         for request in self.open[index]:
-            if request.under_way:
-                request.under_way = False
+            if request.in_progress:
+                request.in_progress = False
                 if declined:
                     request.may_have_run -= 1
                     request.progress.apply(RequestEvent.DECLINED)
@@ -117,7 +121,7 @@
     @stateful.rule(index=ROUTER)
     def fail_all(self, index):
         for request in self.open[index]:
-            request.under_way = False
+            request.in_progress = False
 
     @stateful.rule(index=ROUTER, rounds=st.integers(1, 5))
     def storm(self, index, rounds):
@@ -128,8 +132,8 @@
     @stateful.rule(index=ROUTER)
     def answer_one(self, index):
         for request in self.open[index]:
-            if request.under_way:
-                request.under_way = False
+            if request.in_progress:
+                request.in_progress = False
                 request.progress.apply(RequestEvent.ANSWER)
                 request.progress.apply(RequestEvent.END)
                 self.open[index].remove(request)
@@ -139,14 +143,17 @@
     def not_run_is_said_only_when_true(self):
         for requests in self.open:
             for request in requests:
-                said = request.progress.execution is Execution.NOT_RUN
-                assert not (said and request.may_have_run)
+                reported_not_run = (
+                    request.progress.execution is Execution.NOT_RUN
+                )
+                assert not (reported_not_run and request.may_have_run)
 
     @stateful.invariant()
     def together_they_stay_within_the_budget(self):
         now = self.clock.monotonic()
         retries = [at for at in self.retries if at > now - WINDOW_SECONDS]
-        # The users count requests of this window or of the one before.
+        # The budget may count requests of this window or of the previous
+        # one.
         requests = max(
             sum(begin - WINDOW_SECONDS < at <= begin for at in self.requests)
             for begin in (now, now - WINDOW_SECONDS / 2, now - WINDOW_SECONDS)
@@ -155,15 +162,15 @@
         assert len(retries) <= allowed, (len(retries), allowed)
 
 
-class SelfishBudget(SharedRetryBudget):
-    """Planted fault: each router takes the slack for its own."""
+class SlackPerRouterBudget(SharedRetryBudget):
+    """Injected fault: each router uses the whole slack."""
 
     def has_room(self, live_routers):
         return super().has_room(1)
 
 
-class ForgetfulBudget(SharedRetryBudget):
-    """Planted fault: what was spent is forgotten after half the window."""
+class HalfWindowBudget(SharedRetryBudget):
+    """Injected fault: retries expire after half the window."""
 
     def has_room(self, live_routers):
         oldest = self._clock.monotonic() - WINDOW_SECONDS / 2
@@ -172,8 +179,8 @@
         return super().has_room(live_routers)
 
 
-class ForgetfulProgress(RequestProgress):
-    """Planted fault: a send that is turned away undoes those before it."""
+class OverwritingProgress(RequestProgress):
+    """Injected fault: a declined send also cancels the earlier ones."""
 
     def apply(self, event):
         if event is RequestEvent.DECLINED:
@@ -192,12 +199,12 @@
 
     def test_planted_slack_for_each_is_found(self):
         with self.assertRaises(AssertionError):
-            run_machine(budget_class=SelfishBudget)
+            run_machine(budget_class=SlackPerRouterBudget)
 
     def test_planted_short_memory_is_found(self):
         with self.assertRaises(AssertionError):
-            run_machine(budget_class=ForgetfulBudget)
+            run_machine(budget_class=HalfWindowBudget)
 
     def test_planted_forgotten_send_is_found(self):
         with self.assertRaises(AssertionError):
-            run_machine(progress_class=ForgetfulProgress)
+            run_machine(progress_class=OverwritingProgress)
