--- a/src/lifttrestle/internal/fleet/path/story.py
+++ b/src/lifttrestle/internal/fleet/path/story.py
@@ -27,7 +27,7 @@
 from lifttrestle.internal.fleet.policy.admission import Admitted
 from lifttrestle.internal.fleet.policy.placement import Placement
 from lifttrestle.internal.fleet.state.upstream import FleetUpstream
-from lifttrestle.internal.fleet.usage.ledger import UsageFacts
+from lifttrestle.internal.fleet.usage.ledger import UsageDecision
 from lifttrestle.internal.telemetry.event_log import get_event_log
 
 LOG = get_event_log('request')
@@ -103,7 +103,7 @@
     }
 
 
-def build_usage(facts: UsageFacts) -> dict[str, object]:
+def build_usage(facts: UsageDecision) -> dict[str, object]:
     """Return what the log tells of a workspace's use of its cap."""
     return {
         'units': round(facts.units),
--- a/src/lifttrestle/internal/fleet/state/peer_loads.py
+++ b/src/lifttrestle/internal/fleet/state/peer_loads.py
@@ -45,7 +45,7 @@
 from lifttrestle.internal.fleet.usage.ledger import UsageLedger
 from lifttrestle.internal.fleet.usage.roles import UsageRoles
 from lifttrestle.internal.fleet.usage.telling import IDLE_SECONDS
-from lifttrestle.internal.fleet.usage.telling import UsageTelling
+from lifttrestle.internal.fleet.usage.telling import UsagePublisher
 from lifttrestle.internal.intake.refusals import InputRefusals
 from lifttrestle.internal.telemetry.event_log import get_event_log
 
@@ -108,7 +108,7 @@
         if usage is None:
             usage = UsageLedger(clock, Promises(), dict)
         self._usage = usage
-        self._usage_telling = UsageTelling(vm, self._usage, clock)
+        self._usage_telling = UsagePublisher(vm, self._usage, clock)
         self._usage_roles = UsageRoles(self._usage, roster, self._choice)
         self._asked_for_sums = asyncio.Event()
         self.hear(LoadReport, self._take_report)
@@ -125,7 +125,7 @@
             return
         self._parts.note_told(report.parts, self._clock.monotonic())
         self._aggregator.take_report(report, self._clock.monotonic())
-        self._usage_telling.take_member(
+        self._usage_telling.handle_member_report(
             report.vm, f'{ROUTER_PREFIX}{report.vm}', report.usage
         )
         self._asked_for_sums.set()
@@ -149,7 +149,7 @@
         data_centre = self._roster.get_data_centre(
             f'{ROUTER_PREFIX}{group.vm}'
         )
-        self._usage_telling.take_report(group.vm, data_centre, group.usage)
+        self._usage_telling.handle_report(group.vm, data_centre, group.usage)
 
     def _take_fleet_sum(self, whole: FleetSum) -> None:
         """Believe the sum of the router that this one tells its loads."""
@@ -163,7 +163,7 @@
                 self._ledger.forget(FLEET)
                 self._summed_by = whole.vm
             self._ledger.believe(FLEET, whole.number, rest)
-            self._usage_telling.take_answer(whole.levels)
+            self._usage_telling.handle_answer(whole.levels)
             self._heard_at = now
             self._answered.set()
 
@@ -171,7 +171,7 @@
         """Believe a router's report, unless a newer one overtook it."""
         self._parts.note_told(report.parts, self._clock.monotonic())
         self._ledger.believe(report.vm, report.number, report.loads)
-        self._usage_telling.take_report(
+        self._usage_telling.handle_report(
             report.vm, f'{ROUTER_PREFIX}{report.vm}', report.usage
         )
 
@@ -205,7 +205,7 @@
                     await self._changed.wait()
             except TimeoutError:
                 self._ledger.sum_up()
-                self._usage_telling.forget_gone()
+                self._usage_telling.drop_inactive()
                 regular = True
             pause = self._pacing.take(self._count_tellers())
             if pause:
@@ -265,8 +265,8 @@
         at 0.9 of what they can read).
         """
         if workspace is not None:
-            self._usage.want(workspace)
-        known = workspace is None or self._usage.is_known(workspace)
+            self._usage.request_level(workspace)
+        known = workspace is None or self._usage.is_level_fresh(workspace)
         if known and self.is_current():
             return
         self.ask()
@@ -290,7 +290,7 @@
             if upstream.in_flight
         ]
         parts = self._parts.take_news()
-        self._usage_roles.follow(self._choice.choose())
+        self._usage_roles.update(self._choice.choose())
         if sums_pay(self._roster.live):
             self._tell_aggregator(loads, parts, asks=asks)
             return
--- a/src/lifttrestle/internal/fleet/usage/charge.py
+++ b/src/lifttrestle/internal/fleet/usage/charge.py
@@ -13,7 +13,7 @@
 """What one request takes of its workspace's cap, and gives back."""
 
 from lifttrestle.internal.fleet.state.catalogue import Workspace
-from lifttrestle.internal.fleet.usage.ledger import UsageFacts
+from lifttrestle.internal.fleet.usage.ledger import UsageDecision
 from lifttrestle.internal.fleet.usage.ledger import UsageLedger
 
 
@@ -36,7 +36,7 @@
         # Units that are taken and not yet used by a send.
         self._taken = 0.0
 
-    def admit(self) -> UsageFacts | None:
+    def admit(self) -> UsageDecision | None:
         """Take what one run counts, if something is left; tell what decided.
 
         Nothing is returned for a workspace without a cap.
--- a/src/lifttrestle/internal/fleet/usage/counts.py
+++ b/src/lifttrestle/internal/fleet/usage/counts.py
@@ -18,7 +18,7 @@
 # A count that was not touched for so long is told no more, and the next use
 # begins a new one. Within it each message tells the count again, so that one
 # that is lost is made up for.
-COUNT_SECONDS = 1.0
+COUNT_LIFETIME_SECONDS = 1.0
 MILLISECONDS = 1000
 # Entries of one message, so that it stays one datagram.
 MAX_ENTRIES = 100
@@ -28,13 +28,13 @@
 class Count:
     """Units that a workspace was given since the count began.
 
-    :ivar told: the highest that ``net`` was; a count never goes down.
+    :ivar reported: the highest that ``net`` was; a count never goes down.
     """
 
     serial: int
     touched_at: float
     net: float = 0.0
-    told: float = 0.0
+    reported: float = 0.0
 
 
 class UsageCounts:
@@ -47,7 +47,7 @@
     def touch(self, workspace: int, now: float) -> Count:
         """Return the count of a workspace, a new one after a pause."""
         count = self._counts.pop(workspace, None)
-        if count is None or now - count.touched_at > COUNT_SECONDS:
+        if count is None or now - count.touched_at > COUNT_LIFETIME_SECONDS:
             count = Count(int(now * MILLISECONDS), now)
         count.touched_at = now
         self._counts[workspace] = count
@@ -57,7 +57,7 @@
         """Count units that were given out; below zero, given back."""
         count = self.touch(workspace, now)
         count.net += units
-        count.told = max(count.told, count.net)
+        count.reported = max(count.reported, count.net)
 
     def get(self, workspace: int) -> Count | None:
         """Return the count of a workspace, if there is one."""
@@ -66,7 +66,10 @@
     def list_newest(self, now: float) -> Iterator[tuple[int, Count]]:
         """Return what was touched lately, the newest first; drop the rest."""
         for workspace in list(self._counts):
-            if now - self._counts[workspace].touched_at <= COUNT_SECONDS:
+            if (
+                now - self._counts[workspace].touched_at
+                <= COUNT_LIFETIME_SECONDS
+            ):
                 break
             del self._counts[workspace]
         newest = list(reversed(self._counts.items()))
@@ -74,7 +77,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class HeardCount:
+class ReceivedCount:
     """What was last heard of one count of one teller."""
 
     serial: int
@@ -82,14 +85,14 @@
     at: float
 
 
-class HeardCounts:
+class ReceivedCounts:
     """What one teller's counts were when they were last heard."""
 
     def __init__(self) -> None:
-        self._counts: dict[int, HeardCount] = {}
-        self.known = False
+        self._counts: dict[int, ReceivedCount] = {}
+        self.has_baseline = False
 
-    def take(
+    def update(
         self, workspace: int, serial: int, used: float, now: float
     ) -> float | None:
         """Return the units that are new, None if nobody can know.
@@ -101,22 +104,22 @@
         if held is not None and serial < held.serial:
             # An older message came late.
             return 0.0
-        self._counts[workspace] = HeardCount(serial, used, now)
+        self._counts[workspace] = ReceivedCount(serial, used, now)
         if held is not None and held.serial == serial:
             # Messages overtake each other.
             self._counts[workspace].used = max(used, held.used)
             return max(used - held.used, 0.0)
-        return used if self.known else None
+        return used if self.has_baseline else None
 
-    def list_since(self, now: float) -> list[tuple[int, HeardCount]]:
+    def list_recent(self, now: float) -> list[tuple[int, ReceivedCount]]:
         """Return what the teller has told lately."""
         return [
             (workspace, held)
             for workspace, held in self._counts.items()
-            if now - held.at <= COUNT_SECONDS
+            if now - held.at <= COUNT_LIFETIME_SECONDS
         ]
 
-    def forget(self, before: float) -> None:
+    def drop_before(self, before: float) -> None:
         """Drop counts that were last heard earlier."""
         stale = [
             workspace
--- a/src/lifttrestle/internal/fleet/usage/ledger.py
+++ b/src/lifttrestle/internal/fleet/usage/ledger.py
@@ -41,7 +41,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class UsageFacts:
+class UsageDecision:
     """What decided whether a workspace may use more; for the log.
 
     :ivar left: units, below zero if more was used than the cap allows.
@@ -66,7 +66,7 @@
 
     :param get_caps: returns the caps in force by digest of the workspace.
     :ivar counts: what this router gave out.
-    :ivar summed: another router adds up for this one.
+    :ivar uses_aggregator: another router adds up for this one.
     """
 
     def __init__(
@@ -85,7 +85,7 @@
         # Since when this router adds up by itself.
         self._adding_since = clock.monotonic()
         self.counts = UsageCounts()
-        self.summed = False
+        self.uses_aggregator = False
 
     @property
     def in_use(self) -> bool:
@@ -93,34 +93,34 @@
         return bool(self._levels)
 
     @property
-    def is_settled(self) -> bool:
+    def is_synced(self) -> bool:
         """Return whether others had the time to tell of themselves."""
         adding = self._clock.monotonic() - self._adding_since
-        return not self.summed and adding > SILENT_SECONDS
+        return not self.uses_aggregator and adding > SILENT_SECONDS
 
-    def follow_groups(self, groups: Mapping[str, int]) -> None:
+    def use_groups(self, groups: Mapping[str, int]) -> None:
         """Add up what other groups of routers tell."""
         now = self._clock.monotonic()
-        if self.summed:
+        if self.uses_aggregator:
             self._adding_since = now
         # While a process starts, who was not heard of may be out of touch.
-        starting = not self.summed and not self.is_settled
+        starting = not self.uses_aggregator and not self.is_synced
         self._others.set_groups(groups, -math.inf if starting else now)
-        self.summed = False
+        self.uses_aggregator = False
         for level in self._levels.values():
             level.set_others(self._others)
 
-    def follow_sums(self, routers: int) -> None:
+    def use_aggregator(self, routers: int) -> None:
         """Take over what one router tells of all others.
 
         :param routers: all live ones.
         """
         self._sum.set_groups({FLEET: max(routers - 1, 0)}, -math.inf)
-        self.summed = True
+        self.uses_aggregator = True
         for level in self._levels.values():
             level.set_others(self._sum)
 
-    def note_sum(self) -> None:
+    def note_aggregator_heard(self) -> None:
         """Note that the router has answered that adds up for this one."""
         self._sum.note_heard(FLEET, self._clock.monotonic())
 
@@ -128,13 +128,13 @@
         """Note that a group has told all that it used lately."""
         self._others.note_heard(group, self._clock.monotonic())
 
-    def find(self, workspace: Workspace) -> SharedLevel | None:
+    def find_level(self, workspace: Workspace) -> SharedLevel | None:
         """Return the level of a workspace, None if it has no cap."""
         if workspace.cap is None:
             return None
         return self._hold(workspace.digest, workspace.cap)
 
-    def get(self, workspace: int) -> SharedLevel | None:
+    def get_level(self, workspace: int) -> SharedLevel | None:
         """Return a level by the digest of its workspace."""
         cap = self._get_caps().get(workspace)
         return None if cap is None else self._hold(workspace, cap)
@@ -154,33 +154,33 @@
             oldest = next(iter(self._levels))
             del self._levels[oldest]
             self._known_at.pop(oldest, None)
-        others = self._sum if self.summed else self._others
+        others = self._sum if self.uses_aggregator else self._others
         level = cap.get_start_level(self.promises)
-        if self.is_settled:
+        if self.is_synced:
             # Somebody would have told of it if it had been used lately.
             level = cap.capacity
         return SharedLevel(cap, level, others, self._clock.monotonic())
 
-    def want(self, workspace: Workspace) -> None:
+    def request_level(self, workspace: Workspace) -> None:
         """Have the next question ask for a workspace's level."""
-        if self.find(workspace) is not None:
+        if self.find_level(workspace) is not None:
             self.counts.touch(workspace.digest, self._clock.monotonic())
 
-    def is_known(self, workspace: Workspace) -> bool:
+    def is_level_fresh(self, workspace: Workspace) -> bool:
         """Return whether a workspace's level needs no question."""
-        if not self.summed or workspace.cap is None:
+        if not self.uses_aggregator or workspace.cap is None:
             return True
         known_at = self._known_at.get(workspace.digest, -math.inf)
         return self._clock.monotonic() - known_at < KNOWN_SECONDS
 
-    def take_over(
+    def apply_aggregate(
         self, workspace: int, level: float, included: float, use: float
     ) -> None:
         """Believe what the router says that adds up for this one.
 
         :param included: of this router's own count, what is in the level.
         """
-        held = self.get(workspace)
+        held = self.get_level(workspace)
         if held is None:
             return
         now = self._clock.monotonic()
@@ -193,10 +193,10 @@
 
     def adopt(self, workspace: int, level: float) -> None:
         """Begin from what others know, while this process is new."""
-        held = self.get(workspace)
-        if held is None or self.summed:
+        held = self.get_level(workspace)
+        if held is None or self.uses_aggregator:
             return
-        if not self.is_settled:
+        if not self.is_synced:
             held.adopt(level)
 
     def note_elsewhere(
@@ -207,7 +207,7 @@
         :param units: what is new, None if that is not known.
         :param told: all that the group tells.
         """
-        held = self.get(workspace)
+        held = self.get_level(workspace)
         if held is None or group not in held.others:
             return
         if units is None:
@@ -216,18 +216,20 @@
         if units:
             held.note_elsewhere(group, units, self._clock.monotonic())
 
-    def admit(self, workspace: Workspace, units: float) -> UsageFacts | None:
+    def admit(
+        self, workspace: Workspace, units: float
+    ) -> UsageDecision | None:
         """Take units for a request if something is left; return what decided.
 
         Nothing is returned for a workspace without a cap.
         """
-        level = self.find(workspace)
+        level = self.find_level(workspace)
         if level is None:
             return None
         now = self._clock.monotonic()
         left = level.get_left(now)
         missing = level.find_missing(units, left)
-        facts = UsageFacts(
+        facts = UsageDecision(
             units=units,
             left=left,
             use=level.get_total_use(now),
@@ -244,7 +246,7 @@
 
     def take(self, workspace: Workspace, units: float) -> None:
         """Count units without asking; below zero, give them back."""
-        level = self.find(workspace)
+        level = self.find_level(workspace)
         if level is not None:
             self._take(workspace, level, units, self._clock.monotonic())
 
--- a/src/lifttrestle/internal/fleet/usage/roles.py
+++ b/src/lifttrestle/internal/fleet/usage/roles.py
@@ -28,9 +28,9 @@
         self._roster = roster
         self._choice = choice
         self._seen: tuple[int, int, bool] | None = None
-        self.follow(roster.key)
+        self.update(roster.key)
 
-    def follow(self, aggregator: str) -> None:
+    def update(self, aggregator: str) -> None:
         """Take this router's part.
 
         :param aggregator: key of the router that adds up for this one, which
@@ -45,9 +45,9 @@
             return
         self._seen = seen
         if summed:
-            self._ledger.follow_sums(live)
+            self._ledger.use_aggregator(live)
         else:
-            self._ledger.follow_groups(self._list_groups(live))
+            self._ledger.use_groups(self._list_groups(live))
 
     def _list_groups(self, live: int) -> dict[str, int]:
         if not sums_pay(live):
--- a/src/lifttrestle/internal/fleet/usage/telling.py
+++ b/src/lifttrestle/internal/fleet/usage/telling.py
@@ -14,7 +14,7 @@
 
 from lifttrestle.internal.clock.clock import Clock
 from lifttrestle.internal.fleet.usage.counts import Count
-from lifttrestle.internal.fleet.usage.counts import HeardCounts
+from lifttrestle.internal.fleet.usage.counts import ReceivedCounts
 from lifttrestle.internal.fleet.usage.counts import UsageCounts
 from lifttrestle.internal.fleet.usage.ledger import UsageLedger
 from lifttrestle.internal.fleet.usage.messages import LevelEntry
@@ -31,7 +31,7 @@
 IDLE_SECONDS = 0.25
 
 
-class UsageTelling:
+class UsagePublisher:
     """Builds and takes the entries of one router's messages.
 
     Entries are ``None`` in a message that tells nothing of use: its teller
@@ -46,7 +46,7 @@
         self._clock = clock
         # Of the routers that tell this one to add up, itself among them.
         self._group = UsageCounts()
-        self._tellers: dict[str, HeardCounts] = {}
+        self._tellers: dict[str, ReceivedCounts] = {}
         self._heard_at: dict[str, float] = {}
         self._told_at = float('-inf')
         self._summed_at = float('-inf')
@@ -78,18 +78,18 @@
         ]
 
     def _build_entry(self, workspace: int, count: Count) -> UsedEntry:
-        held = self._ledger.get(workspace)
-        sure = held is not None and self._ledger.is_settled
+        held = self._ledger.get_level(workspace)
+        sure = held is not None and self._ledger.is_synced
         level = held.level if held is not None and sure else None
-        return UsedEntry(workspace, count.serial, count.told, level)
+        return UsedEntry(workspace, count.serial, count.reported, level)
 
-    def take_report(
+    def handle_report(
         self, vm: str, group: str, entries: list[UsedEntry] | None
     ) -> None:
         """Take in what one router used, to add it up by itself."""
         self._take(vm, group, entries, None)
 
-    def take_member(
+    def handle_member_report(
         self, vm: str, group: str, entries: list[UsedEntry] | None
     ) -> None:
         """Take in what a router used that has its group's sum told."""
@@ -105,10 +105,12 @@
         if entries is None:
             return
         now = self._clock.monotonic()
-        teller = self._tellers.setdefault(vm, HeardCounts())
+        teller = self._tellers.setdefault(vm, ReceivedCounts())
         self._heard_at[vm] = now
         for entry in entries:
-            units = teller.take(entry.workspace, entry.serial, entry.used, now)
+            units = teller.update(
+                entry.workspace, entry.serial, entry.used, now
+            )
             if counts is not None:
                 counts.add(entry.workspace, units or 0.0, now)
             if vm == self._vm:
@@ -119,7 +121,7 @@
             self._ledger.note_elsewhere(
                 entry.workspace, group, units, entry.used
             )
-        teller.known = True
+        teller.has_baseline = True
         self._ledger.note_heard(group)
 
     def build_answer(self, vm: str) -> list[LevelEntry] | None:
@@ -129,8 +131,8 @@
             return None
         now = self._clock.monotonic()
         answer = []
-        for workspace, held in teller.list_since(now):
-            level = self._ledger.get(workspace)
+        for workspace, held in teller.list_recent(now):
+            level = self._ledger.get_level(workspace)
             if level is None:
                 continue
             answer.append(
@@ -144,26 +146,26 @@
             )
         return answer
 
-    def take_answer(self, entries: list[LevelEntry] | None) -> None:
+    def handle_answer(self, entries: list[LevelEntry] | None) -> None:
         """Go by what the router says that adds up for this one."""
-        if entries is None or not self._ledger.summed:
+        if entries is None or not self._ledger.uses_aggregator:
             return
-        self._ledger.note_sum()
+        self._ledger.note_aggregator_heard()
         for entry in entries:
             count = self._ledger.counts.get(entry.workspace)
             same = count is not None and count.serial == entry.serial
-            self._ledger.take_over(
+            self._ledger.apply_aggregate(
                 entry.workspace,
                 entry.level,
                 entry.included if same else 0.0,
                 entry.use,
             )
 
-    def forget_gone(self) -> None:
+    def drop_inactive(self) -> None:
         """Drop what is held of routers that tell nothing any more."""
         before = self._clock.monotonic() - TELLER_SECONDS
         for vm in [vm for vm, at in self._heard_at.items() if at < before]:
             del self._heard_at[vm]
             del self._tellers[vm]
         for teller in self._tellers.values():
-            teller.forget(before)
+            teller.drop_before(before)
--- a/tests/cover/test_load_sums.py
+++ b/tests/cover/test_load_sums.py
@@ -165,17 +165,17 @@
     def use(self, fleet, name, units):
         router = fleet.routers[name]
         for _ in range(2):
-            router.usage.want(WORKSPACE)
+            router.usage.request_level(WORKSPACE)
             fleet.turn()
         facts = router.usage.admit(WORKSPACE, units)
         self.assertIsNone(facts.retry_seconds)
 
     def get_left(self, fleet, name):
         """Return what a router takes to be left when it has asked."""
-        fleet.routers[name].usage.want(WORKSPACE)
+        fleet.routers[name].usage.request_level(WORKSPACE)
         for _ in range(3):
             fleet.turn()
-        level = fleet.routers[name].usage.find(WORKSPACE)
+        level = fleet.routers[name].usage.find_level(WORKSPACE)
         return level.get_left(fleet.clock.monotonic())
 
     def test_every_router_knows_what_all_used(self):
@@ -205,7 +205,7 @@
         adding = {
             name
             for name, router in fleet.routers.items()
-            if not router.usage.summed
+            if not router.usage.uses_aggregator
         }
         fleet.down = adding
         for _ in range(6):
--- a/tests/cover/test_usage_caps.py
+++ b/tests/cover/test_usage_caps.py
@@ -32,9 +32,9 @@
 from lifttrestle.internal.fleet.settings import Promises
 from lifttrestle.internal.fleet.state.catalogue import Workspace
 from lifttrestle.internal.fleet.usage.charge import UsageCharge
-from lifttrestle.internal.fleet.usage.counts import COUNT_SECONDS
-from lifttrestle.internal.fleet.usage.counts import HeardCounts
+from lifttrestle.internal.fleet.usage.counts import COUNT_LIFETIME_SECONDS
 from lifttrestle.internal.fleet.usage.counts import MAX_ENTRIES
+from lifttrestle.internal.fleet.usage.counts import ReceivedCounts
 from lifttrestle.internal.fleet.usage.counts import UsageCounts
 from lifttrestle.internal.fleet.usage.ledger import UsageLedger
 from lifttrestle.internal.platform.stored_format import PlatformFormat
@@ -264,14 +264,14 @@
         for number, units in enumerate(uses):
             counts.add(7, units, number * 0.1)
             count = counts.get(7)
-            messages.append((count.serial, count.told))
+            messages.append((count.serial, count.reported))
         last = messages[-1]
         heard = [item for item in messages * 2 if source.random() < 0.7]
         source.shuffle(heard)
-        teller = HeardCounts()
-        teller.known = True
+        teller = ReceivedCounts()
+        teller.has_baseline = True
         total = sum(
-            teller.take(7, serial, used, 1.0)
+            teller.update(7, serial, used, 1.0)
             for serial, used in [*heard, last]
         )
         self.assertAlmostEqual(total, sum(uses))
@@ -280,25 +280,27 @@
         counts = UsageCounts()
         counts.add(7, 5.0, 0.0)
         first = counts.get(7).serial
-        later = COUNT_SECONDS * 1.5
+        later = COUNT_LIFETIME_SECONDS * 1.5
         counts.add(7, 3.0, later)
-        teller = HeardCounts()
-        teller.known = True
-        self.assertEqual(teller.take(7, first, 5.0, 0.0), 5.0)
+        teller = ReceivedCounts()
+        teller.has_baseline = True
+        self.assertEqual(teller.update(7, first, 5.0, 0.0), 5.0)
         count = counts.get(7)
-        self.assertEqual(teller.take(7, count.serial, count.told, later), 3.0)
-        self.assertEqual(teller.take(7, first, 5.0, later), 0.0)
+        self.assertEqual(
+            teller.update(7, count.serial, count.reported, later), 3.0
+        )
+        self.assertEqual(teller.update(7, first, 5.0, later), 0.0)
 
     def test_first_message_of_a_teller_says_nothing_new(self):
-        self.assertIsNone(HeardCounts().take(7, 1, 1e6, 0.0))
+        self.assertIsNone(ReceivedCounts().update(7, 1, 1e6, 0.0))
 
     def test_a_count_never_goes_down(self):
         counts = UsageCounts()
         counts.add(7, 5.0, 0.0)
         counts.add(7, -5.0, 0.1)
-        self.assertEqual(counts.get(7).told, 5.0)
+        self.assertEqual(counts.get(7).reported, 5.0)
         counts.add(7, 6.0, 0.2)
-        self.assertEqual(counts.get(7).told, 6.0)
+        self.assertEqual(counts.get(7).reported, 6.0)
 
     def test_a_message_is_bounded(self):
         counts = UsageCounts()
@@ -320,10 +322,10 @@
         self.ledger = UsageLedger(
             self.clock, Promises(cap_slack=1e6), lambda: caps
         )
-        self.ledger.follow_groups({})
+        self.ledger.use_groups({})
 
     def get_left(self):
-        return self.ledger.find(self.workspace).level
+        return self.ledger.find_level(self.workspace).level
 
     def make(self, tokens=100):
         charge = UsageCharge(self.ledger, self.workspace, tokens)
@@ -379,7 +381,7 @@
         self.assertIsNone(charge.admit())
         charge.note_sent()
         charge.settle()
-        self.assertIsNone(self.ledger.find(free))
+        self.assertIsNone(self.ledger.find_level(free))
 
 
 class TestPlayed(unittest.TestCase):
--- a/tests/support/played_caps.py
+++ b/tests/support/played_caps.py
@@ -28,7 +28,7 @@
 from lifttrestle.internal.fleet.settings import Promises
 from lifttrestle.internal.fleet.state.catalogue import Workspace
 from lifttrestle.internal.fleet.usage.ledger import UsageLedger
-from lifttrestle.internal.fleet.usage.telling import UsageTelling
+from lifttrestle.internal.fleet.usage.telling import UsagePublisher
 
 START = datetime.datetime(2026, 1, 1, tzinfo=datetime.timezone.utc)
 STEP_SECONDS = 0.05
@@ -339,7 +339,7 @@
         self._summed = len(play.routers) > DIRECT_ROUTERS
         self.datagrams = 0
         self.ledgers: dict[str, UsageLedger] = {}
-        self._telling: dict[str, UsageTelling] = {}
+        self._telling: dict[str, UsagePublisher] = {}
         self._aggregators = {
             place: next(r for r in play.routers if play.places[r] == place)
             for place in DATA_CENTRES
@@ -352,14 +352,14 @@
         caps = {self.workspace.digest: CAP}
         ledger = UsageLedger(self.play.clock, PROMISES, lambda: caps)
         self.ledgers[router] = ledger
-        self._telling[router] = UsageTelling(router, ledger, self.play.clock)
+        self._telling[router] = UsagePublisher(router, ledger, self.play.clock)
         if not self._summed:
             others = [name for name in self.play.routers if name != router]
-            ledger.follow_groups(dict.fromkeys(others, 1))
+            ledger.use_groups(dict.fromkeys(others, 1))
         elif router in self._aggregators.values():
-            ledger.follow_groups(self._list_groups(router))
+            ledger.use_groups(self._list_groups(router))
         else:
-            ledger.follow_sums(len(self.play.routers))
+            ledger.use_aggregator(len(self.play.routers))
 
     def _list_groups(self, router: str) -> dict[str, int]:
         place = self.play.places[router]
@@ -373,8 +373,8 @@
         """Ask the router that adds up first, in a large fleet."""
         ledger = self.ledgers[router]
         if self._summed:
-            ledger.want(self.workspace)
-            if not ledger.is_known(self.workspace):
+            ledger.request_level(self.workspace)
+            if not ledger.is_level_fresh(self.workspace):
                 self._ask(router)
         facts = ledger.admit(self.workspace, units)
         return facts.retry_seconds is None
@@ -399,22 +399,22 @@
             for other in self.play.routers:
                 if other != one and self.play.reaches(one, other):
                     self.datagrams += 1
-                    self._telling[other].take_report(one, one, entries)
+                    self._telling[other].handle_report(one, one, entries)
 
     def _ask(self, router: str) -> None:
         aggregator = self._aggregators[self.play.places[router]]
         entries = self._telling[router].build_report()
         if router == aggregator:
-            self._telling[router].take_member(router, router, entries)
+            self._telling[router].handle_member_report(router, router, entries)
             return
         self.datagrams += 1
         if not self.play.reaches(router, aggregator):
             return
         hearer = self._telling[aggregator]
-        hearer.take_member(router, router, entries)
+        hearer.handle_member_report(router, router, entries)
         if self.play.reaches(aggregator, router):
             self.datagrams += 1
-            self._telling[router].take_answer(hearer.build_answer(router))
+            self._telling[router].handle_answer(hearer.build_answer(router))
 
     def _tell_sums(self) -> None:
         for place, aggregator in self._aggregators.items():
@@ -424,7 +424,7 @@
                     continue
                 if self.play.reaches(aggregator, other):
                     self.datagrams += 1
-                    self._telling[other].take_report(
+                    self._telling[other].handle_report(
                         aggregator, place, entries
                     )
 
