--- a/src/lifttrestle/internal/fleet/state/peer_loads.py
+++ b/src/lifttrestle/internal/fleet/state/peer_loads.py
@@ -43,9 +43,9 @@
 from lifttrestle.internal.fleet.state.roster import ROUTER_PREFIX
 from lifttrestle.internal.fleet.state.shared_parts import SharedParts
 from lifttrestle.internal.fleet.usage.ledger import UsageLedger
+from lifttrestle.internal.fleet.usage.publisher import IDLE_SECONDS
+from lifttrestle.internal.fleet.usage.publisher import UsagePublisher
 from lifttrestle.internal.fleet.usage.roles import UsageRoles
-from lifttrestle.internal.fleet.usage.telling import IDLE_SECONDS
-from lifttrestle.internal.fleet.usage.telling import UsagePublisher
 from lifttrestle.internal.intake.refusals import InputRefusals
 from lifttrestle.internal.telemetry.event_log import get_event_log
 
--- a/tests/support/played_caps.py
+++ b/tests/support/played_caps.py
@@ -28,7 +28,7 @@
 from lifttrestle.internal.fleet.settings import Promises
 from lifttrestle.internal.fleet.state.catalogue import Workspace
 from lifttrestle.internal.fleet.usage.ledger import UsageLedger
-from lifttrestle.internal.fleet.usage.telling import UsagePublisher
+from lifttrestle.internal.fleet.usage.publisher import UsagePublisher
 
 START = datetime.datetime(2026, 1, 1, tzinfo=datetime.timezone.utc)
 STEP_SECONDS = 0.05
