--- a/src/lifttrestle/internal/fleet/usage/charge.py
+++ b/src/lifttrestle/internal/fleet/usage/charge.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""What one request takes of its workspace's cap, and gives back."""
+"""Charges a request to the usage cap of its workspace."""
 
 from lifttrestle.internal.fleet.state.catalogue import Workspace
 from lifttrestle.internal.fleet.usage.ledger import UsageDecision
@@ -18,12 +18,14 @@
 
 
 class UsageCharge:
-    """Counts a request once for each upstream that may have run it.
+    """Charges a request once for each upstream that may have run it.
 
-    The first time is asked for: it is refused when nothing is left. A request
-    that is sent again, or a stream that goes on elsewhere, counts again
-    without a question, as the caller has been promised to be served. What an
-    upstream turned away, or was never sent, counts nothing.
+    Only the first charge is subject to admission and is refused if the cap is
+    exhausted. A retry, or a stream that is resumed at another upstream, is
+    charged without admission, since the request has already been accepted. A
+    send that the upstream declined, or that was never made, is not charged.
+
+    :param tokens: size of the request, None if it is not known.
     """
 
     def __init__(
@@ -33,31 +35,31 @@
         self._workspace = workspace
         cap = workspace.cap
         self._units = cap.count_units(tokens) if cap is not None else 0.0
-        # Units that are taken and not yet used by a send.
-        self._taken = 0.0
+        # Units that are charged but not yet used by a send.
+        self._reserved = 0.0
 
     def admit(self) -> UsageDecision | None:
-        """Take what one run counts, if something is left; tell what decided.
+        """Charge one run if the cap permits it.
 
-        Nothing is returned for a workspace without a cap.
+        :returns: the decision, None for a workspace without a cap.
         """
-        facts = self._ledger.admit(self._workspace, self._units)
-        if facts is not None and facts.retry_seconds is None:
-            self._taken = self._units
-        return facts
+        decision = self._ledger.admit(self._workspace, self._units)
+        if decision is not None and decision.retry_seconds is None:
+            self._reserved = self._units
+        return decision
 
     def note_sent(self) -> None:
-        """Count a send."""
-        if not self._taken:
+        """Charge a send, unless its units are already reserved."""
+        if not self._reserved:
             self._ledger.take(self._workspace, self._units)
-        self._taken = 0.0
+        self._reserved = 0.0
 
     def note_not_run(self) -> None:
-        """Have the next send count for the last one, which did not run."""
-        self._taken = self._units
+        """Reuse the charge of the last send, which did not run."""
+        self._reserved = self._units
 
     def settle(self) -> None:
-        """Give back what no send has used."""
-        if self._taken:
-            self._ledger.take(self._workspace, -self._taken)
-        self._taken = 0.0
+        """Return the units that no send has used."""
+        if self._reserved:
+            self._ledger.take(self._workspace, -self._reserved)
+        self._reserved = 0.0
--- a/src/lifttrestle/internal/fleet/usage/counts.py
+++ b/src/lifttrestle/internal/fleet/usage/counts.py
@@ -10,25 +10,29 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Counts of what workspaces were given, as one router tells and hears them."""
+"""Usage counts of workspaces, as routers send and receive them."""
 
 from collections.abc import Iterator
 import dataclasses
 
-# A count that was not touched for so long is told no more, and the next use
-# begins a new one. Within it each message tells the count again, so that one
-# that is lost is made up for.
+# A count that was not touched for this long is no longer reported, and the
+# next use begins a new one. Until then every message repeats the count, which
+# compensates for lost messages.
 COUNT_LIFETIME_SECONDS = 1.0
 MILLISECONDS = 1000
-# Entries of one message, so that it stays one datagram.
+# Limit on the entries of a message, so that it fits into one datagram.
 MAX_ENTRIES = 100
 
 
 @dataclasses.dataclass(slots=True)
 class Count:
-    """Units that a workspace was given since the count began.
+    """Units that a workspace has used since the count began.
 
-    :ivar reported: the highest that ``net`` was; a count never goes down.
+    :ivar serial: identifies the count: milliseconds of the monotonic clock at
+        its beginning.
+    :ivar touched_at: monotonic time of the last use, in seconds.
+    :ivar net: units charged less units returned.
+    :ivar reported: maximum of ``net``; a reported count never decreases.
     """
 
     serial: int
@@ -38,14 +42,17 @@
 
 
 class UsageCounts:
-    """This router's counts, or those of a group that it adds up for."""
+    """Counts by workspace, of this router or of the group it aggregates."""
 
     def __init__(self) -> None:
-        # The one that was touched last stands last.
+        # In order of the last touch, the most recent last.
         self._counts: dict[int, Count] = {}
 
     def touch(self, workspace: int, now: float) -> Count:
-        """Return the count of a workspace, a new one after a pause."""
+        """Return the count of a workspace and mark it as used.
+
+        A new count begins if there is none or if it has expired.
+        """
         count = self._counts.pop(workspace, None)
         if count is None or now - count.touched_at > COUNT_LIFETIME_SECONDS:
             count = Count(int(now * MILLISECONDS), now)
@@ -54,17 +61,20 @@
         return count
 
     def add(self, workspace: int, units: float, now: float) -> None:
-        """Count units that were given out; below zero, given back."""
+        """Count charged units; negative ones are returned."""
         count = self.touch(workspace, now)
         count.net += units
         count.reported = max(count.reported, count.net)
 
     def get(self, workspace: int) -> Count | None:
-        """Return the count of a workspace, if there is one."""
+        """Return the count of a workspace, None if there is none."""
         return self._counts.get(workspace)
 
     def list_newest(self, now: float) -> Iterator[tuple[int, Count]]:
-        """Return what was touched lately, the newest first; drop the rest."""
+        """Return unexpired counts, the newest first, and drop expired ones.
+
+        At most ``MAX_ENTRIES`` counts are returned.
+        """
         for workspace in list(self._counts):
             if (
                 now - self._counts[workspace].touched_at
@@ -78,7 +88,11 @@
 
 @dataclasses.dataclass(slots=True)
 class ReceivedCount:
-    """What was last heard of one count of one teller."""
+    """The last received state of a count of another router.
+
+    :ivar used: units.
+    :ivar at: monotonic time of receipt in seconds.
+    """
 
     serial: int
     used: float
@@ -86,7 +100,10 @@
 
 
 class ReceivedCounts:
-    """What one teller's counts were when they were last heard."""
+    """The last received counts of one sender.
+
+    :ivar has_baseline: whether a message of the sender was received before.
+    """
 
     def __init__(self) -> None:
         self._counts: dict[int, ReceivedCount] = {}
@@ -95,36 +112,37 @@
     def update(
         self, workspace: int, serial: int, used: float, now: float
     ) -> float | None:
-        """Return the units that are new, None if nobody can know.
+        """Update a count from a message.
 
-        A count that is met with the first message of a teller may hold what
-        was used long before.
+        :returns: units used since the last message, or None if that is
+            unknown: a count in the first message of a sender may include
+            units that were used long before.
         """
-        held = self._counts.get(workspace)
-        if held is not None and serial < held.serial:
-            # An older message came late.
+        previous = self._counts.get(workspace)
+        if previous is not None and serial < previous.serial:
+            # A delayed message with an older count.
             return 0.0
         self._counts[workspace] = ReceivedCount(serial, used, now)
-        if held is not None and held.serial == serial:
-            # Messages overtake each other.
-            self._counts[workspace].used = max(used, held.used)
-            return max(used - held.used, 0.0)
+        if previous is not None and previous.serial == serial:
+            # Messages may arrive out of order.
+            self._counts[workspace].used = max(used, previous.used)
+            return max(used - previous.used, 0.0)
         return used if self.has_baseline else None
 
     def list_recent(self, now: float) -> list[tuple[int, ReceivedCount]]:
-        """Return what the teller has told lately."""
+        """Return the counts that were received recently."""
         return [
-            (workspace, held)
-            for workspace, held in self._counts.items()
-            if now - held.at <= COUNT_LIFETIME_SECONDS
+            (workspace, count)
+            for workspace, count in self._counts.items()
+            if now - count.at <= COUNT_LIFETIME_SECONDS
         ]
 
     def drop_before(self, before: float) -> None:
-        """Drop counts that were last heard earlier."""
+        """Drop counts that were last received before a time."""
         stale = [
             workspace
-            for workspace, held in self._counts.items()
-            if held.at < before
+            for workspace, count in self._counts.items()
+            if count.at < before
         ]
         for workspace in stale:
             del self._counts[workspace]
--- a/src/lifttrestle/internal/fleet/usage/ledger.py
+++ b/src/lifttrestle/internal/fleet/usage/ledger.py
@@ -10,11 +10,11 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""What every workspace has left of its cap, as one router knows it.
+"""The remaining usage caps of workspaces, from the view of one router.
 
-Where each router tells all others, each adds up by itself. In a large fleet
-one router of each data centre adds up; the others take over the levels that
-it tells them, and count their own use since.
+In a small fleet, all routers exchange their usage and each one aggregates it.
+In a large fleet, one router of each data centre is the aggregator; the others
+adopt the levels that it reports and subtract their own usage since then.
 """
 
 from collections.abc import Callable
@@ -31,25 +31,26 @@
 from lifttrestle.internal.fleet.state.catalogue import Workspace
 from lifttrestle.internal.fleet.usage.counts import UsageCounts
 
-# All routers but this one, of which another router tells.
-FLEET = ''
-# Levels that are held. A workspace that is not asked for yields first, and
-# its level begins anew.
+# Group key of all routers but this one, whose usage the aggregator reports.
+OTHER_ROUTERS = ''
+# Limit on the levels in memory. The least recently used one is evicted; a new
+# level is created when its workspace is used again.
 MAX_LEVELS = 10_000
-# A level that was told within this time needs no question.
-KNOWN_SECONDS = 0.25
+# For this long a level from the aggregator is used without a new query.
+FRESH_LEVEL_SECONDS = 0.25
 
 
 @dataclasses.dataclass(frozen=True)
 class UsageDecision:
-    """What decided whether a workspace may use more; for the log.
-
-    :ivar left: units, below zero if more was used than the cap allows.
-    :ivar use: units a second of all routers.
-    :ivar share: units a second of them that are this router's.
-    :ivar silent: groups of routers that are out of touch.
-    :ivar retry_seconds: after which a refused caller may come back, None if
-        it was admitted.
+    """An admission decision with the values it was based on, for the log.
+
+    :ivar units: units that the request needs.
+    :ivar left: remaining units, negative if the cap was exceeded.
+    :ivar use: units per second used at all routers.
+    :ivar share: units per second of these that this router may use.
+    :ivar silent: number of groups of routers without recent messages.
+    :ivar retry_seconds: delay after which a refused caller may retry, None if
+        the request was admitted.
     """
 
     units: float
@@ -62,11 +63,11 @@
 
 
 class UsageLedger:
-    """Levels of all workspaces that have a cap and were asked for.
+    """Tracks the levels of the workspaces that have a cap and are in use.
 
     :param get_caps: returns the caps in force by digest of the workspace.
-    :ivar counts: what this router gave out.
-    :ivar uses_aggregator: another router adds up for this one.
+    :ivar counts: usage at this router.
+    :ivar uses_aggregator: whether another router aggregates for this one.
     """
 
     def __init__(
@@ -79,31 +80,38 @@
         self._clock = clock
         self._get_caps = get_caps
         self._others = OtherRouters()
-        self._sum = OtherRouters(summed=True)
+        self._aggregated = OtherRouters(summed=True)
         self._levels: dict[int, SharedLevel] = {}
-        self._known_at: dict[int, float] = {}
-        # Since when this router adds up by itself.
-        self._adding_since = clock.monotonic()
+        self._received_at: dict[int, float] = {}
+        # Monotonic time since which this router aggregates by itself.
+        self._aggregating_since = clock.monotonic()
         self.counts = UsageCounts()
         self.uses_aggregator = False
 
     @property
     def in_use(self) -> bool:
-        """Return whether any workspace has a cap and was asked for."""
+        """Return whether any workspace with a cap has been used."""
         return bool(self._levels)
 
     @property
     def is_synced(self) -> bool:
-        """Return whether others had the time to tell of themselves."""
-        adding = self._clock.monotonic() - self._adding_since
-        return not self.uses_aggregator and adding > SILENT_SECONDS
+        """Return whether all reachable routers have had time to report.
+
+        It is False while another router aggregates for this one.
+        """
+        elapsed = self._clock.monotonic() - self._aggregating_since
+        return not self.uses_aggregator and elapsed > SILENT_SECONDS
 
     def use_groups(self, groups: Mapping[str, int]) -> None:
-        """Add up what other groups of routers tell."""
+        """Aggregate the reports of other groups of routers.
+
+        :param groups: number of routers by name of the group.
+        """
         now = self._clock.monotonic()
         if self.uses_aggregator:
-            self._adding_since = now
-        # While a process starts, who was not heard of may be out of touch.
+            self._aggregating_since = now
+        # While this process starts, a group that has not reported may be
+        # unreachable.
         starting = not self.uses_aggregator and not self.is_synced
         self._others.set_groups(groups, -math.inf if starting else now)
         self.uses_aggregator = False
@@ -111,117 +119,128 @@
             level.set_others(self._others)
 
     def use_aggregator(self, routers: int) -> None:
-        """Take over what one router tells of all others.
+        """Use the levels that the aggregator reports.
 
-        :param routers: all live ones.
+        :param routers: number of live routers, this one included.
         """
-        self._sum.set_groups({FLEET: max(routers - 1, 0)}, -math.inf)
+        self._aggregated.set_groups(
+            {OTHER_ROUTERS: max(routers - 1, 0)}, -math.inf
+        )
         self.uses_aggregator = True
         for level in self._levels.values():
-            level.set_others(self._sum)
+            level.set_others(self._aggregated)
 
     def note_aggregator_heard(self) -> None:
-        """Note that the router has answered that adds up for this one."""
-        self._sum.note_heard(FLEET, self._clock.monotonic())
+        """Note that the aggregator has answered."""
+        self._aggregated.note_heard(OTHER_ROUTERS, self._clock.monotonic())
 
     def note_heard(self, group: str) -> None:
-        """Note that a group has told all that it used lately."""
+        """Note that a group has reported its recent usage."""
         self._others.note_heard(group, self._clock.monotonic())
 
     def find_level(self, workspace: Workspace) -> SharedLevel | None:
         """Return the level of a workspace, None if it has no cap."""
         if workspace.cap is None:
             return None
-        return self._hold(workspace.digest, workspace.cap)
+        return self._get_or_create_level(workspace.digest, workspace.cap)
 
     def get_level(self, workspace: int) -> SharedLevel | None:
-        """Return a level by the digest of its workspace."""
+        """Return the level for the digest of a workspace, None without cap."""
         cap = self._get_caps().get(workspace)
-        return None if cap is None else self._hold(workspace, cap)
+        return (
+            None if cap is None else self._get_or_create_level(workspace, cap)
+        )
 
-    def _hold(self, digest: int, cap: UsageCap) -> SharedLevel:
+    def _get_or_create_level(self, digest: int, cap: UsageCap) -> SharedLevel:
         level = self._levels.pop(digest, None)
         if level is None:
-            level = self._make_level(digest, cap)
+            level = self._create_level(digest, cap)
         elif level.cap != cap:
             level.set_cap(cap)
-        # The one that was asked for last stands last.
+        # In order of use, the most recent last.
         self._levels[digest] = level
         return level
 
-    def _make_level(self, digest: int, cap: UsageCap) -> SharedLevel:
+    def _create_level(self, digest: int, cap: UsageCap) -> SharedLevel:
         if len(self._levels) >= MAX_LEVELS:
             oldest = next(iter(self._levels))
             del self._levels[oldest]
-            self._known_at.pop(oldest, None)
-        others = self._sum if self.uses_aggregator else self._others
+            self._received_at.pop(oldest, None)
+        others = self._aggregated if self.uses_aggregator else self._others
         level = cap.get_start_level(self.promises)
         if self.is_synced:
-            # Somebody would have told of it if it had been used lately.
+            # Recent usage elsewhere would have been reported.
             level = cap.capacity
         return SharedLevel(cap, level, others, self._clock.monotonic())
 
     def request_level(self, workspace: Workspace) -> None:
-        """Have the next question ask for a workspace's level."""
+        """Include a workspace in the next query to the aggregator."""
         if self.find_level(workspace) is not None:
             self.counts.touch(workspace.digest, self._clock.monotonic())
 
     def is_level_fresh(self, workspace: Workspace) -> bool:
-        """Return whether a workspace's level needs no question."""
+        """Return whether a workspace's level is usable without a query."""
         if not self.uses_aggregator or workspace.cap is None:
             return True
-        known_at = self._known_at.get(workspace.digest, -math.inf)
-        return self._clock.monotonic() - known_at < KNOWN_SECONDS
+        received_at = self._received_at.get(workspace.digest, -math.inf)
+        return self._clock.monotonic() - received_at < FRESH_LEVEL_SECONDS
 
     def apply_aggregate(
         self, workspace: int, level: float, included: float, use: float
     ) -> None:
-        """Believe what the router says that adds up for this one.
+        """Update a level from an answer of the aggregator.
 
-        :param included: of this router's own count, what is in the level.
+        :param workspace: digest of the workspace.
+        :param level: remaining units.
+        :param included: units of this router's own count that the level
+            already accounts for.
+        :param use: units per second used at all routers.
         """
-        held = self.get_level(workspace)
-        if held is None:
+        shared = self.get_level(workspace)
+        if shared is None:
             return
         now = self._clock.monotonic()
         count = self.counts.get(workspace)
         own = count.net if count is not None else 0.0
-        held.advance(now)
-        held.level = level - max(own - included, 0.0)
-        held.set_use(FLEET, max(use - held.own_use.get(now), 0.0), now)
-        self._known_at[workspace] = now
+        shared.advance(now)
+        shared.level = level - max(own - included, 0.0)
+        shared.set_use(
+            OTHER_ROUTERS, max(use - shared.own_use.get(now), 0.0), now
+        )
+        self._received_at[workspace] = now
 
     def adopt(self, workspace: int, level: float) -> None:
-        """Begin from what others know, while this process is new."""
-        held = self.get_level(workspace)
-        if held is None or self.uses_aggregator:
+        """Adopt the level of another router while this process starts."""
+        shared = self.get_level(workspace)
+        if shared is None or self.uses_aggregator:
             return
         if not self.is_synced:
-            held.adopt(level)
+            shared.adopt(level)
 
     def note_elsewhere(
-        self, workspace: int, group: str, units: float | None, told: float
+        self, workspace: int, group: str, units: float | None, reported: float
     ) -> None:
-        """Count what a group used.
+        """Count the usage of another group.
 
-        :param units: what is new, None if that is not known.
-        :param told: all that the group tells.
+        :param workspace: digest of the workspace.
+        :param units: units since the last report, None if that is unknown.
+        :param reported: total of the reported count.
         """
-        held = self.get_level(workspace)
-        if held is None or group not in held.others:
+        shared = self.get_level(workspace)
+        if shared is None or group not in shared.others:
             return
         if units is None:
-            held.advance(self._clock.monotonic())
-            units = min(told, held.get_assumed(group))
+            shared.advance(self._clock.monotonic())
+            units = min(reported, shared.get_assumed(group))
         if units:
-            held.note_elsewhere(group, units, self._clock.monotonic())
+            shared.note_elsewhere(group, units, self._clock.monotonic())
 
     def admit(
         self, workspace: Workspace, units: float
     ) -> UsageDecision | None:
-        """Take units for a request if something is left; return what decided.
+        """Charge a request if the cap permits it.
 
-        Nothing is returned for a workspace without a cap.
+        :returns: the decision, None for a workspace without a cap.
         """
         level = self.find_level(workspace)
         if level is None:
@@ -229,7 +248,7 @@
         now = self._clock.monotonic()
         left = level.get_left(now)
         missing = level.find_missing(units, left)
-        facts = UsageDecision(
+        decision = UsageDecision(
             units=units,
             left=left,
             use=level.get_total_use(now),
@@ -240,17 +259,17 @@
             if missing > 0
             else None,
         )
-        if facts.retry_seconds is None:
-            self._take(workspace, level, units, now)
-        return facts
+        if decision.retry_seconds is None:
+            self._charge(workspace, level, units, now)
+        return decision
 
     def take(self, workspace: Workspace, units: float) -> None:
-        """Count units without asking; below zero, give them back."""
+        """Charge units without admission; negative units are returned."""
         level = self.find_level(workspace)
         if level is not None:
-            self._take(workspace, level, units, self._clock.monotonic())
+            self._charge(workspace, level, units, self._clock.monotonic())
 
-    def _take(
+    def _charge(
         self,
         workspace: Workspace,
         level: SharedLevel,
--- a/src/lifttrestle/internal/fleet/usage/messages.py
+++ b/src/lifttrestle/internal/fleet/usage/messages.py
@@ -10,9 +10,9 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""What routers tell each other of the use that workspaces make of their caps.
+"""Message entries by which routers exchange the usage of workspaces.
 
-It goes with the messages on loads, so that it costs no datagram of its own.
+The entries are part of the load messages and need no datagrams of their own.
 """
 
 from typing import Annotated
@@ -24,13 +24,14 @@
 
 
 class UsedEntry(msgspec.Struct, frozen=True, array_like=True):
-    """What a workspace was given since a count began.
+    """Units that a workspace has used since a count began.
 
-    :ivar workspace: digest of its name.
-    :ivar serial: of the count; it begins anew after a pause.
+    :ivar workspace: digest of the name of the workspace.
+    :ivar serial: identifies the count; a new count begins after a pause.
     :ivar used: units, never less than in an earlier entry of the count.
-    :ivar level: what the teller has added up to be left, for a hearer that
-        has just started; None if it adds up nothing, or has just started.
+    :ivar level: remaining units according to the sender, for a receiver that
+        has just started; None if the sender does not aggregate, or has just
+        started itself.
     """
 
     workspace: Count
@@ -40,11 +41,14 @@
 
 
 class LevelEntry(msgspec.Struct, frozen=True, array_like=True):
-    """What is left of a workspace's cap.
-
-    :ivar serial: the hearer's own count that is in it, and how far.
-    :ivar included: units of that count that are in it.
-    :ivar use: units a second that all routers give out.
+    """The remaining usage of a workspace.
+
+    :ivar workspace: digest of the name of the workspace.
+    :ivar level: remaining units.
+    :ivar serial: identifies the receiver's own count that the level accounts
+        for.
+    :ivar included: units of that count that the level accounts for.
+    :ivar use: units per second used at all routers.
     """
 
     workspace: Count
--- a/src/lifttrestle/internal/fleet/usage/publisher.py
+++ b/src/lifttrestle/internal/fleet/usage/publisher.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Tells other routers what workspaces were given here, and hears of them."""
+"""Exchanges the usage of workspaces with other routers."""
 
 from lifttrestle.internal.clock.clock import Clock
 from lifttrestle.internal.fleet.usage.counts import Count
@@ -20,56 +20,56 @@
 from lifttrestle.internal.fleet.usage.messages import LevelEntry
 from lifttrestle.internal.fleet.usage.messages import UsedEntry
 
-# What a router that is gone has told is forgotten after this.
-TELLER_SECONDS = 30.0
-# Between two sums of a data centre. What others may use meanwhile is a tenth
-# of a second's rate; told with each sum of loads it would be most of the
-# bytes.
+# Counts of a router that no longer reports are dropped after this time.
+RETENTION_SECONDS = 30.0
+# Interval between two usage sums of a data centre. In the meantime, other
+# routers may use as much as the rate allows in a tenth of a second. If every
+# sum of loads included the usage, it would make up most of the bytes.
 SUM_SECONDS = 0.1
-# A router without work tells of itself this often; it counts as out of touch
-# a little later.
+# Interval between the reports of an idle router, slightly less than the time
+# after which a router without reports counts as unreachable.
 IDLE_SECONDS = 0.25
 
 
 class UsagePublisher:
-    """Builds and takes the entries of one router's messages.
+    """Builds and handles the usage entries in messages of one router.
 
-    Entries are ``None`` in a message that tells nothing of use: its teller
-    may have used something since.
+    Entries are ``None`` in a message that does not report usage; its sender
+    may have used units since its last report.
 
-    :param vm: this router's.
+    :param vm: VM of this router.
     """
 
     def __init__(self, vm: str, ledger: UsageLedger, clock: Clock) -> None:
         self._vm = vm
         self._ledger = ledger
         self._clock = clock
-        # Of the routers that tell this one to add up, itself among them.
-        self._group = UsageCounts()
-        self._tellers: dict[str, ReceivedCounts] = {}
-        self._heard_at: dict[str, float] = {}
-        self._told_at = float('-inf')
-        self._summed_at = float('-inf')
+        # Counts of the routers that this one aggregates, itself included.
+        self._group_counts = UsageCounts()
+        self._senders: dict[str, ReceivedCounts] = {}
+        self._received_at: dict[str, float] = {}
+        self._reported_at = float('-inf')
+        self._sum_built_at = float('-inf')
 
     def is_due(self) -> bool:
-        """Return whether others have to hear of this router, idle or not."""
+        """Return whether a report is due even if this router is idle."""
         if not self._ledger.in_use:
             return False
-        return self._clock.monotonic() - self._told_at >= IDLE_SECONDS
+        return self._clock.monotonic() - self._reported_at >= IDLE_SECONDS
 
     def build_report(self) -> list[UsedEntry]:
-        """Return what this router gave out lately."""
+        """Return the recent usage at this router."""
         now = self._clock.monotonic()
-        self._told_at = now
+        self._reported_at = now
         return self._build(self._ledger.counts, now)
 
     def build_sum(self) -> list[UsedEntry] | None:
-        """Return what this router's group gave out, if that is to be told."""
+        """Return the recent usage of this router's group, None if not due."""
         now = self._clock.monotonic()
-        if now - self._summed_at < SUM_SECONDS:
+        if now - self._sum_built_at < SUM_SECONDS:
             return None
-        self._summed_at = now
-        return self._build(self._group, now)
+        self._sum_built_at = now
+        return self._build(self._group_counts, now)
 
     def _build(self, counts: UsageCounts, now: float) -> list[UsedEntry]:
         return [
@@ -78,24 +78,32 @@
         ]
 
     def _build_entry(self, workspace: int, count: Count) -> UsedEntry:
-        held = self._ledger.get_level(workspace)
-        sure = held is not None and self._ledger.is_synced
-        level = held.level if held is not None and sure else None
+        shared = self._ledger.get_level(workspace)
+        reliable = shared is not None and self._ledger.is_synced
+        level = shared.level if shared is not None and reliable else None
         return UsedEntry(workspace, count.serial, count.reported, level)
 
     def handle_report(
         self, vm: str, group: str, entries: list[UsedEntry] | None
     ) -> None:
-        """Take in what one router used, to add it up by itself."""
-        self._take(vm, group, entries, None)
+        """Handle a report that is not part of the sum of this router's group.
+
+        :param vm: VM of the sender.
+        :param group: name of the group in the ledger.
+        """
+        self._handle(vm, group, entries, None)
 
     def handle_member_report(
         self, vm: str, group: str, entries: list[UsedEntry] | None
     ) -> None:
-        """Take in what a router used that has its group's sum told."""
-        self._take(vm, group, entries, self._group)
+        """Handle the report of a member of the group that this one aggregates.
+
+        :param vm: VM of the sender.
+        :param group: name of the group in the ledger.
+        """
+        self._handle(vm, group, entries, self._group_counts)
 
-    def _take(
+    def _handle(
         self,
         vm: str,
         group: str,
@@ -105,33 +113,37 @@
         if entries is None:
             return
         now = self._clock.monotonic()
-        teller = self._tellers.setdefault(vm, ReceivedCounts())
-        self._heard_at[vm] = now
+        sender = self._senders.setdefault(vm, ReceivedCounts())
+        self._received_at[vm] = now
         for entry in entries:
-            units = teller.update(
+            units = sender.update(
                 entry.workspace, entry.serial, entry.used, now
             )
             if counts is not None:
                 counts.add(entry.workspace, units or 0.0, now)
             if vm == self._vm:
-                # Counted when it was given out.
+                # Own usage was counted when it was charged.
                 continue
             if entry.level is not None:
                 self._ledger.adopt(entry.workspace, entry.level)
             self._ledger.note_elsewhere(
                 entry.workspace, group, units, entry.used
             )
-        teller.has_baseline = True
+        sender.has_baseline = True
         self._ledger.note_heard(group)
 
     def build_answer(self, vm: str) -> list[LevelEntry] | None:
-        """Return what a router that asks has to know of its workspaces."""
-        teller = self._tellers.get(vm)
-        if teller is None:
+        """Return the levels of the workspaces that a router reported recently.
+
+        :param vm: VM of the router that asks.
+        :returns: the levels, None if the router has never reported.
+        """
+        sender = self._senders.get(vm)
+        if sender is None:
             return None
         now = self._clock.monotonic()
         answer = []
-        for workspace, held in teller.list_recent(now):
+        for workspace, count in sender.list_recent(now):
             level = self._ledger.get_level(workspace)
             if level is None:
                 continue
@@ -139,15 +151,15 @@
                 LevelEntry(
                     workspace,
                     level.get_left(now),
-                    held.serial,
-                    held.used,
+                    count.serial,
+                    count.used,
                     level.get_total_use(now),
                 )
             )
         return answer
 
     def handle_answer(self, entries: list[LevelEntry] | None) -> None:
-        """Go by what the router says that adds up for this one."""
+        """Apply an answer of the aggregator of this router."""
         if entries is None or not self._ledger.uses_aggregator:
             return
         self._ledger.note_aggregator_heard()
@@ -162,10 +174,10 @@
             )
 
     def drop_inactive(self) -> None:
-        """Drop what is held of routers that tell nothing any more."""
-        before = self._clock.monotonic() - TELLER_SECONDS
-        for vm in [vm for vm, at in self._heard_at.items() if at < before]:
-            del self._heard_at[vm]
-            del self._tellers[vm]
-        for teller in self._tellers.values():
-            teller.drop_before(before)
+        """Drop the counts of routers that no longer report."""
+        before = self._clock.monotonic() - RETENTION_SECONDS
+        for vm in [vm for vm, at in self._received_at.items() if at < before]:
+            del self._received_at[vm]
+            del self._senders[vm]
+        for sender in self._senders.values():
+            sender.drop_before(before)
--- a/src/lifttrestle/internal/fleet/usage/roles.py
+++ b/src/lifttrestle/internal/fleet/usage/roles.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Whether this router adds up what all use, or takes over another's sums."""
+"""Determines whether this router aggregates usage or uses an aggregator."""
 
 from lifttrestle.internal.fleet.policy.load_paths import sums_pay
 from lifttrestle.internal.fleet.state.aggregator_choice import AggregatorChoice
@@ -19,7 +19,7 @@
 
 
 class UsageRoles:
-    """Keeps the ledger's groups what the roster and the choice say."""
+    """Configures the ledger by the roster and the choice of aggregators."""
 
     def __init__(
         self, ledger: UsageLedger, roster: Roster, choice: AggregatorChoice
@@ -27,24 +27,24 @@
         self._ledger = ledger
         self._roster = roster
         self._choice = choice
-        self._seen: tuple[int, int, bool] | None = None
+        self._applied: tuple[int, int, bool] | None = None
         self.update(roster.key)
 
     def update(self, aggregator: str) -> None:
-        """Take this router's part.
+        """Apply the current roster and aggregator to the ledger.
 
-        :param aggregator: key of the router that adds up for this one, which
-            counts only in a large fleet.
+        :param aggregator: key of the aggregator of this router; only relevant
+            in a large fleet.
         """
         live = self._roster.live
-        summed = sums_pay(live) and aggregator != self._roster.key
-        # Until it knows the others it has a share, and no more.
-        summed = summed or not self._roster.loaded
-        seen = (self._roster.changes, live, summed)
-        if seen == self._seen:
+        uses_aggregator = sums_pay(live) and aggregator != self._roster.key
+        # Until the roster is loaded this router is limited to its share.
+        uses_aggregator = uses_aggregator or not self._roster.loaded
+        state = (self._roster.changes, live, uses_aggregator)
+        if state == self._applied:
             return
-        self._seen = seen
-        if summed:
+        self._applied = state
+        if uses_aggregator:
             self._ledger.use_aggregator(live)
         else:
             self._ledger.use_groups(self._list_groups(live))
--- a/tests/cover/test_usage_caps.py
+++ b/tests/cover/test_usage_caps.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Tests of caps on what workspaces use, over many routers."""
+"""Tests of usage caps of workspaces that many routers enforce together."""
 
 import datetime
 import random
@@ -45,20 +45,23 @@
 from tests.support.played_caps import SharedLevels
 
 START = datetime.datetime(2026, 1, 1, tzinfo=datetime.timezone.utc)
-# A play takes 0.2 s; making a failing one smaller takes minutes.
+# A simulation takes 0.2 s; shrinking a failing example takes minutes.
 NO_SHRINK = (Phase.explicit, Phase.generate)
 CALM = (1.0,) * 12
 HOT = (1.0,) * 3 + (5.1,) * 9
 ROUTERS = (8, 23, 60)
-# Of a cap that is kept everywhere: what is refused below it, and what a
-# workspace far above it gets of it, in touch and in two parts.
+# Limits on the fraction of requests refused below the cap, and on the fraction
+# of the cap admitted under much higher load, without and with a partition.
 MAX_WRONGLY_REFUSED = 0.001
 MIN_GIVEN = 0.9
 MIN_GIVEN_CUT = 0.7
 
 
 def read_workspace(**fields):
-    """Return a workspace as the operator wrote it, beside a sound one."""
+    """Return a workspace and the faults found in its configuration.
+
+    The configuration also has a valid workspace, which must be read.
+    """
     record = {
         'version': 1,
         'tenants': [
@@ -161,11 +164,11 @@
         level.note_elsewhere('b', 70.0, 0.0)
         self.assertAlmostEqual(level.get_left(0.0), 30.0)
 
-    def test_who_is_not_heard_is_taken_to_use_its_share(self):
+    def test_unreported_group_is_assumed_to_use_its_share(self):
         level = self.make({'b': 1}, level=20.0)
         self.assertAlmostEqual(level.get_left(0.2), 20.0 + 20.0 - 10.0)
 
-    def test_who_is_out_of_touch_keeps_its_part(self):
+    def test_unreachable_group_keeps_its_share(self):
         level = self.make({'b': 3})
         now = SILENT_SECONDS + 0.01
         self.assertAlmostEqual(level.get_left(now), 25.0, delta=1.0)
@@ -237,10 +240,10 @@
             for name, level in sides.items():
                 units = source.expovariate(1 / 2.0)
                 level.take(units, now)
-                for other, told in sides.items():
+                for other, observer in sides.items():
                     if other != name:
-                        told.others.note_heard(name, now)
-                        told.note_elsewhere(name, units, now)
+                        observer.others.note_heard(name, now)
+                        observer.note_elsewhere(name, units, now)
         cut = now + SILENT_SECONDS + 0.01
         left = {name: level.get_left(cut) for name, level in sides.items()}
         gained = [
@@ -266,13 +269,13 @@
             count = counts.get(7)
             messages.append((count.serial, count.reported))
         last = messages[-1]
-        heard = [item for item in messages * 2 if source.random() < 0.7]
-        source.shuffle(heard)
-        teller = ReceivedCounts()
-        teller.has_baseline = True
+        received = [item for item in messages * 2 if source.random() < 0.7]
+        source.shuffle(received)
+        sender = ReceivedCounts()
+        sender.has_baseline = True
         total = sum(
-            teller.update(7, serial, used, 1.0)
-            for serial, used in [*heard, last]
+            sender.update(7, serial, used, 1.0)
+            for serial, used in [*received, last]
         )
         self.assertAlmostEqual(total, sum(uses))
 
@@ -282,16 +285,16 @@
         first = counts.get(7).serial
         later = COUNT_LIFETIME_SECONDS * 1.5
         counts.add(7, 3.0, later)
-        teller = ReceivedCounts()
-        teller.has_baseline = True
-        self.assertEqual(teller.update(7, first, 5.0, 0.0), 5.0)
+        sender = ReceivedCounts()
+        sender.has_baseline = True
+        self.assertEqual(sender.update(7, first, 5.0, 0.0), 5.0)
         count = counts.get(7)
         self.assertEqual(
-            teller.update(7, count.serial, count.reported, later), 3.0
+            sender.update(7, count.serial, count.reported, later), 3.0
         )
-        self.assertEqual(teller.update(7, first, 5.0, later), 0.0)
+        self.assertEqual(sender.update(7, first, 5.0, later), 0.0)
 
-    def test_first_message_of_a_teller_says_nothing_new(self):
+    def test_first_message_of_a_sender_is_a_baseline(self):
         self.assertIsNone(ReceivedCounts().update(7, 1, 1e6, 0.0))
 
     def test_a_count_never_goes_down(self):
@@ -306,9 +309,9 @@
         counts = UsageCounts()
         for workspace in range(4300):
             counts.add(workspace, 1.0, 0.0)
-        told = [workspace for workspace, _ in counts.list_newest(0.1)]
-        self.assertEqual(len(told), MAX_ENTRIES)
-        self.assertEqual(told[0], 4299)
+        listed = [workspace for workspace, _ in counts.list_newest(0.1)]
+        self.assertEqual(len(listed), MAX_ENTRIES)
+        self.assertEqual(listed[0], 4299)
         self.assertEqual(list(counts.list_newest(2.0)), [])
 
 
@@ -370,8 +373,8 @@
         self.make(1500).note_sent()
         before = self.get_left()
         charge = UsageCharge(self.ledger, self.workspace, 100)
-        facts = charge.admit()
-        self.assertGreater(facts.retry_seconds, 0.0)
+        decision = charge.admit()
+        self.assertGreater(decision.retry_seconds, 0.0)
         charge.settle()
         self.assertAlmostEqual(self.get_left(), before)
 
@@ -385,7 +388,7 @@
 
 
 class TestPlayed(unittest.TestCase):
-    """The load of one workspace on many routers, in simulated time."""
+    """Simulates the load of one workspace on many routers."""
 
     def play(self, routers, play, design=SharedLevels):
         return CapPlay(routers, play, 1).run(design)
@@ -487,7 +490,7 @@
                     self.assertLessEqual(outcome.most, 1.0)
 
     def test_restarts_in_four_parts_that_lose_a_third_of_what_is_told(self):
-        # The first messages get through.
+        # At this value, the partition begins after the first messages.
         begin = 3.1953318615308973e-301
         play = Play(
             HOT,
--- a/tests/nocover/test_usage_caps.py
+++ b/tests/nocover/test_usage_caps.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Tests of usage caps by what callers and upstreams of a router see."""
+"""End-to-end tests of usage caps with a router and its upstreams."""
 
 import unittest
 
@@ -21,13 +21,13 @@
 from tests.support.fleet_upstream import Behaviour
 
 ENGINES = ('e1', 'e2')
-# A request of the stand-in callers has 465 tokens. What a start may use is
-# a fifth of the slack.
+# A test request has 465 tokens. The usage permitted after a start is a fifth
+# of the slack.
 PROMISES = Promises(retry_slack=40.0, grace_seconds=0.4, cap_slack=1_000_000.0)
 
 
 def cap_workspace(fleet, **fields):
-    """Put a cap on the workspace of the callers in force."""
+    """Set a cap on the workspace of the callers and wait until it applies."""
     acme, *others = CONFIGURATION['tenants']
     limited = {
         **acme,
--- a/tests/support/played_caps.py
+++ b/tests/support/played_caps.py
@@ -10,10 +10,10 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""A workspace's load on many routers, played against ways to keep its cap.
+"""Simulates the load of a workspace on many routers that enforce its cap.
 
-Time goes in steps of 50 ms. What a router tells is heard with the next step,
-if its hearer is in touch and the message is not lost.
+Time advances in steps of 50 ms. A message takes effect in the next step if
+its receiver is reachable and the message is not lost.
 """
 
 import abc
@@ -32,7 +32,7 @@
 
 START = datetime.datetime(2026, 1, 1, tzinfo=datetime.timezone.utc)
 STEP_SECONDS = 0.05
-# A router that was killed takes so long to start, and serves nobody then.
+# Time a killed router needs to restart, during which it serves no requests.
 DOWN_SECONDS = 0.5
 DATA_CENTRES = ('a', 'b', 'c', 'd')
 PROMISES = Promises(
@@ -40,12 +40,12 @@
 )
 CAP = UsageCap(350_000.0, 350_000.0, UsageUnit.TOKENS, 200.0)
 CALM_USE = CAP.rate / 1.8
-# Each router tells all others, as in small fleets.
+# Interval between the reports that all routers of a small fleet exchange.
 DIRECT_SECONDS = 0.25
 SUM_SECONDS = 0.1
-DIRECT_ROUTERS = 37
+MAX_DIRECT_ROUTERS = 37
 IDLE_STEPS = 5
-# Prompts of two kinds: a few thousand tokens, and some hundred.
+# Prompt lengths have two modes: a few thousand tokens and a few hundred.
 LARGE_TOKENS = 9200.0
 SMALL_TOKENS = 1000.0
 LARGE_SHARE = 0.36
@@ -56,16 +56,18 @@
 
 @dataclasses.dataclass(frozen=True)
 class Play:
-    """What happens.
-
-    :ivar load: times the usual of a calm workspace, by second.
-    :ivar uneven: one router gets a third of the requests.
-    :ivar cut: seconds from and to which the data centres of one side can't
-        reach the others; with ``cut_all`` none reaches any other.
-    :ivar isolated: routers that nobody hears while the cut lasts.
-    :ivar killed_at: when all routers are killed.
-    :ivar restarts: routers that are killed a second, one after the other.
-    :ivar loss: part of the messages that get lost.
+    """A simulated scenario.
+
+    :ivar load: load in each second, as a multiple of ``CALM_USE``.
+    :ivar uneven: whether one router receives a third of the requests.
+    :ivar cut: begin and end of a network partition in seconds, in which two
+        data centres can't reach the other two.
+    :ivar cut_all: whether the partition separates all data centres.
+    :ivar isolated: number of routers that the partition isolates; if not
+        zero, the data centres are not partitioned unless ``cut_all`` is set.
+    :ivar killed_at: second in which all routers are killed, None for never.
+    :ivar restarts: routers killed per second, in turn.
+    :ivar loss: fraction of the messages that are lost.
     """
 
     load: tuple[float, ...]
@@ -80,12 +82,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Outcome:
-    """What callers got, and what the rule says to it.
+    """The results of a simulation.
 
-    :ivar most: units in the fullest window, of what it may hold.
-    :ivar refused: part of the requests that was refused.
-    :ivar given: units that were given out, of those that a bucket without
-        any delay gives out.
+    :ivar most: highest usage of any window, relative to the allowed usage.
+    :ivar refused: fraction of the requests that were refused.
+    :ivar given: admitted units, relative to those that a single bucket
+        without any delay admits.
     """
 
     most: float
@@ -94,25 +96,28 @@
 
 
 class CapDesign(abc.ABC):
-    """A way to keep a cap over many routers."""
+    """A design that enforces a cap over many routers."""
 
     def __init__(self, play: 'CapPlay') -> None:
         self.play = play
 
     @abc.abstractmethod
     def admit(self, router: str, units: float) -> bool:
-        """Return whether a router gives out units, and count them."""
+        """Return whether a router admits a request, and count its units."""
 
     @abc.abstractmethod
     def restart(self, router: str) -> None:
-        """Forget what a router knew."""
+        """Discard the state of a router."""
 
     def step(self, number: int) -> None:
-        """Have the routers tell each other."""
+        """Exchange the messages of a step between the routers."""
 
 
 class CapPlay:
-    """One load on a number of routers."""
+    """Runs a scenario on a number of routers.
+
+    :param seed: of all random draws.
+    """
 
     def __init__(self, routers: int, play: Play, seed: int) -> None:
         self.play = play
@@ -128,15 +133,15 @@
         self.alone = set(self.routers[len(self.routers) - play.isolated :])
 
     def get_time(self) -> float:
-        """Return the seconds since the play began."""
+        """Return the seconds since the simulation began."""
         return self.clock.monotonic() - self.began
 
     def is_down(self, router: str) -> bool:
-        """Return whether a router is starting."""
+        """Return whether a router is restarting."""
         return self.get_time() < self._down_until.get(router, 0.0)
 
     def reaches(self, one: str, other: str) -> bool:
-        """Return whether a message gets from one router to another."""
+        """Return whether a message between two routers arrives."""
         if self.is_down(one) or self.is_down(other):
             return False
         begin, end = self.play.cut
@@ -151,11 +156,11 @@
         return self.source.random() >= self.play.loss
 
     def run(self, make: type[CapDesign]) -> Outcome:
-        """Play the load against a design."""
+        """Run the scenario with a design."""
         design = make(self)
         given: list[tuple[float, float]] = []
         asked = refused = 0
-        ideal = _Ideal()
+        ideal = _IdealBucket()
         seconds = len(self.play.load)
         for number in range(round(seconds / STEP_SECONDS)):
             now = self.get_time()
@@ -214,8 +219,8 @@
         return requests
 
 
-class _Ideal:
-    """One bucket for all, without any delay."""
+class _IdealBucket:
+    """A single token bucket for all routers, without any delay."""
 
     def __init__(self) -> None:
         self.given = 0.0
@@ -223,7 +228,7 @@
         self._at = 0.0
 
     def take(self, units: float, now: float) -> None:
-        """Take units if something is left."""
+        """Admit a request if the level is positive."""
         gained = (now - self._at) * CAP.rate
         self._level = min(self._level + gained, CAP.burst)
         self._at = now
@@ -233,7 +238,7 @@
 
 
 def _find_most(given: list[tuple[float, float]], window: float) -> float:
-    """Return the most units in any window."""
+    """Return the maximum of the units admitted in any window."""
     held: collections.deque[tuple[float, float]] = collections.deque()
     total = most = 0.0
     for at, units in given:
@@ -246,18 +251,18 @@
 
 
 class NoCaps(CapDesign):
-    """Nothing is counted."""
+    """Enforces no cap."""
 
     def admit(self, router: str, units: float) -> bool:
-        """Admit everything."""
+        """Admit every request."""
         return True
 
     def restart(self, router: str) -> None:
-        """Know nothing, as before."""
+        """Do nothing, as there is no state."""
 
 
 class EqualShares(CapDesign):
-    """Each router keeps an equal part of the rate and of the burst."""
+    """Enforces an equal share of the rate and burst at each router."""
 
     def __init__(self, play: CapPlay) -> None:
         super().__init__(play)
@@ -266,11 +271,11 @@
             self.restart(router)
 
     def get_share(self, router: str) -> float:
-        """Return a router's part."""
+        """Return the share of a router, between 0 and 1."""
         return 1 / len(self.play.routers)
 
     def admit(self, router: str, units: float) -> bool:
-        """Take from the router's own bucket."""
+        """Take the units from the bucket of the router."""
         now = self.play.get_time()
         level, at = self._levels[router]
         share = self.get_share(router)
@@ -280,66 +285,66 @@
         return admitted
 
     def restart(self, router: str) -> None:
-        """Begin with the part of the burst that a start may use."""
+        """Reset the bucket to the share of the start level."""
         level = CAP.get_start_level(PROMISES) / len(self.play.routers)
         self._levels[router] = (level, self.play.get_time())
 
 
 class DemandShares(EqualShares):
-    """Parts of the rate and burst follow what each router was asked for.
+    """Divides the rate and burst by the demand at each router.
 
-    The demand of all is told by those that can be reached; the demand of the
-    others stays what it was.
+    Routers report their demand to the others. The last reported demand of a
+    router counts while it is unreachable.
     """
 
     def __init__(self, play: CapPlay) -> None:
-        self._asked = collections.Counter()
-        self._told = {router: {} for router in play.routers}
+        self._demand = collections.Counter()
+        self._received = {router: {} for router in play.routers}
         super().__init__(play)
 
     def admit(self, router: str, units: float) -> bool:
-        """Take from the router's own bucket, and count what was asked for."""
-        self._asked[router] += units / 4.0
+        """Count the demand and take the units from the router's bucket."""
+        self._demand[router] += units / 4.0
         return super().admit(router, units)
 
     def get_share(self, router: str) -> float:
-        """Return a router's part: four fifths of it by demand."""
+        """Return the share of a router: 0.8 by demand and 0.2 equally."""
         routers = len(self.play.routers)
-        told = self._told[router]
-        others = sum(told.values())
-        own = self._asked[router]
+        received = self._received[router]
+        others = sum(received.values())
+        own = self._demand[router]
         total = own + others
         by_demand = own / total if total else 1 / routers
         return 0.8 * by_demand + 0.2 / routers
 
     def step(self, number: int) -> None:
-        """Tell all others the demand, four times a second."""
+        """Report the demand to all others, four times per second."""
         for router in self.play.routers:
-            self._asked[router] *= 1 - STEP_SECONDS / 4.0
+            self._demand[router] *= 1 - STEP_SECONDS / 4.0
         if number % IDLE_STEPS:
             return
         for one in self.play.routers:
             for other in self.play.routers:
                 if one != other and self.play.reaches(one, other):
-                    self._told[other][one] = self._asked[one]
+                    self._received[other][one] = self._demand[one]
 
     def restart(self, router: str) -> None:
-        """Forget the demand as well."""
-        self._asked[router] = 0.0
-        self._told[router] = {}
+        """Discard the demand and reset the bucket."""
+        self._demand[router] = 0.0
+        self._received[router] = {}
         super().restart(router)
 
 
 class SharedLevels(CapDesign):
-    """All know what is left of the whole, as ``UsageLedger`` keeps it."""
+    """Shares one level between all routers, as ``UsageLedger`` does."""
 
     def __init__(self, play: CapPlay) -> None:
         super().__init__(play)
         self.workspace = Workspace('acme', None, False, CAP)
-        self._summed = len(play.routers) > DIRECT_ROUTERS
+        self._uses_aggregators = len(play.routers) > MAX_DIRECT_ROUTERS
         self.datagrams = 0
         self.ledgers: dict[str, UsageLedger] = {}
-        self._telling: dict[str, UsagePublisher] = {}
+        self._publishers: dict[str, UsagePublisher] = {}
         self._aggregators = {
             place: next(r for r in play.routers if play.places[r] == place)
             for place in DATA_CENTRES
@@ -348,12 +353,14 @@
             self.restart(router)
 
     def restart(self, router: str) -> None:
-        """Begin with an empty ledger."""
+        """Replace the ledger of a router by an empty one."""
         caps = {self.workspace.digest: CAP}
         ledger = UsageLedger(self.play.clock, PROMISES, lambda: caps)
         self.ledgers[router] = ledger
-        self._telling[router] = UsagePublisher(router, ledger, self.play.clock)
-        if not self._summed:
+        self._publishers[router] = UsagePublisher(
+            router, ledger, self.play.clock
+        )
+        if not self._uses_aggregators:
             others = [name for name in self.play.routers if name != router]
             ledger.use_groups(dict.fromkeys(others, 1))
         elif router in self._aggregators.values():
@@ -370,65 +377,69 @@
         return {**dict.fromkeys(near, 1), **counts}
 
     def admit(self, router: str, units: float) -> bool:
-        """Ask the router that adds up first, in a large fleet."""
+        """Admit by the ledger; query the aggregator first in a large fleet."""
         ledger = self.ledgers[router]
-        if self._summed:
+        if self._uses_aggregators:
             ledger.request_level(self.workspace)
             if not ledger.is_level_fresh(self.workspace):
-                self._ask(router)
-        facts = ledger.admit(self.workspace, units)
-        return facts.retry_seconds is None
+                self._query_aggregator(router)
+        decision = ledger.admit(self.workspace, units)
+        return decision.retry_seconds is None
 
     def step(self, number: int) -> None:
-        """Have the reports and sums told that are due."""
-        if not self._summed:
-            self._tell_all(number)
+        """Send the reports and sums that are due."""
+        if not self._uses_aggregators:
+            self._send_reports(number)
             return
         for router in self.play.routers:
             if (number + hash_router(router)) % IDLE_STEPS == 0:
-                self._ask(router)
+                self._query_aggregator(router)
         if number % round(SUM_SECONDS / STEP_SECONDS) == 0:
-            self._tell_sums()
+            self._send_sums()
 
-    def _tell_all(self, number: int) -> None:
+    def _send_reports(self, number: int) -> None:
         period = round(DIRECT_SECONDS / STEP_SECONDS)
         for one in self.play.routers:
             if (number + hash_router(one)) % period:
                 continue
-            entries = self._telling[one].build_report()
+            entries = self._publishers[one].build_report()
             for other in self.play.routers:
                 if other != one and self.play.reaches(one, other):
                     self.datagrams += 1
-                    self._telling[other].handle_report(one, one, entries)
+                    self._publishers[other].handle_report(one, one, entries)
 
-    def _ask(self, router: str) -> None:
+    def _query_aggregator(self, router: str) -> None:
         aggregator = self._aggregators[self.play.places[router]]
-        entries = self._telling[router].build_report()
+        entries = self._publishers[router].build_report()
         if router == aggregator:
-            self._telling[router].handle_member_report(router, router, entries)
+            self._publishers[router].handle_member_report(
+                router, router, entries
+            )
             return
         self.datagrams += 1
         if not self.play.reaches(router, aggregator):
             return
-        hearer = self._telling[aggregator]
-        hearer.handle_member_report(router, router, entries)
+        receiver = self._publishers[aggregator]
+        receiver.handle_member_report(router, router, entries)
         if self.play.reaches(aggregator, router):
             self.datagrams += 1
-            self._telling[router].handle_answer(hearer.build_answer(router))
+            self._publishers[router].handle_answer(
+                receiver.build_answer(router)
+            )
 
-    def _tell_sums(self) -> None:
+    def _send_sums(self) -> None:
         for place, aggregator in self._aggregators.items():
-            entries = self._telling[aggregator].build_sum()
+            entries = self._publishers[aggregator].build_sum()
             for other in self._aggregators.values():
                 if other == aggregator:
                     continue
                 if self.play.reaches(aggregator, other):
                     self.datagrams += 1
-                    self._telling[other].handle_report(
+                    self._publishers[other].handle_report(
                         aggregator, place, entries
                     )
 
 
 def hash_router(router: str) -> int:
-    """Return a number by which routers take turns."""
+    """Return the number of a router, which staggers periodic messages."""
     return int(router[1:])
