--- a/src/lifttrestle/internal/exchange/progress.py
+++ b/src/lifttrestle/internal/exchange/progress.py
@@ -42,8 +42,8 @@
 S = RequestState
 E = RequestEvent
 # A request that the upstream declined without processing it returns to the
-# state before it was sent. A retry after the first byte of an answer does not
-# leave FIRST_BYTE.
+# state before it was sent. A retry after the first byte of an answer stays in
+# FIRST_BYTE, since the earlier attempt may have been executed.
 TRANSITIONS: dict[tuple[RequestState, RequestEvent], RequestState] = {
     (S.RECEIVED, E.ADMIT): S.ADMITTED,
     (S.ADMITTED, E.CLAIM): S.CLAIMED,
