--- a/src/lifttrestle/internal/fleet/usage/roles.py
+++ b/src/lifttrestle/internal/fleet/usage/roles.py
@@ -37,7 +37,9 @@
             in a large fleet.
         """
         live = self._roster.live
-        uses_aggregator = uses_aggregation(live) and aggregator != self._roster.key
+        uses_aggregator = (
+            uses_aggregation(live) and aggregator != self._roster.key
+        )
         # Until the roster is loaded this router is limited to its share.
         uses_aggregator = uses_aggregator or not self._roster.loaded
         state = (self._roster.changes, live, uses_aggregator)
