--- a/benchmarks/crashes.py
+++ b/benchmarks/crashes.py
@@ -20,7 +20,7 @@
 import time
 
 from lifttrestle.internal.fleet.crashes.messages import CrashItem
-from lifttrestle.internal.fleet.crashes.messages import CrashNews
+from lifttrestle.internal.fleet.crashes.messages import CrashUpdate
 from lifttrestle.internal.fleet.path.request_digest import build_request_digest
 from lifttrestle.internal.fleet.policy.admission import Admitted
 from lifttrestle.internal.fleet.state.catalogue import Workspace
@@ -52,14 +52,14 @@
 
 def time_news(routers: int) -> float:
     """Return the microseconds that a router takes to hear of one request."""
-    memory = CrashFleet(routers).memories[0]
+    memory = CrashFleet(routers).trackers[0]
     data = [
-        write_message(CrashNews('r1', [CrashItem(DIGEST + number, [1, 2])]))
+        write_message(CrashUpdate('r1', [CrashItem(DIGEST + number, [1, 2])]))
         for number in range(ROUNDS)
     ]
     began = time.perf_counter()
     for item in data:
-        memory.take_news(read_message(item))  # type: ignore[arg-type]
+        memory.handle_update(read_message(item))  # type: ignore[arg-type]
     return (time.perf_counter() - began) / ROUNDS * MICROSECONDS
 
 
@@ -68,7 +68,7 @@
     fleet = CrashFleet(routers)
     for number in range(UNDER_WAY):
         fleet.crash(number % routers, 0, [DIGEST + number])
-    fleet.tell()
+    fleet.send_updates()
     return fleet.messages, fleet.bytes
 
 
@@ -77,7 +77,7 @@
     fleet = CrashFleet(routers)
     for number in range(3):
         fleet.crash(number, number, [DIGEST])
-        fleet.tell()
+        fleet.send_updates()
     return fleet.messages, fleet.bytes
 
 
--- a/src/lifttrestle/internal/cli/held.py
+++ b/src/lifttrestle/internal/cli/held.py
@@ -27,9 +27,9 @@
 from lifttrestle.internal.cli.node_file import load_node_settings
 from lifttrestle.internal.cli.node_file import SETTINGS_HELP
 from lifttrestle.internal.clock.system import SystemClock
+from lifttrestle.internal.fleet.crashes.held_row import decode_held_row
 from lifttrestle.internal.fleet.crashes.held_row import HELD_PREFIX
 from lifttrestle.internal.fleet.crashes.held_row import HeldRow
-from lifttrestle.internal.fleet.crashes.held_row import read_held
 from lifttrestle.internal.fleet.state.roster import FLEET_TABLE
 from lifttrestle.internal.fleet.state.rows import RowStore
 from lifttrestle.internal.fleet.state.rows import RowWrite
@@ -93,7 +93,9 @@
     for row in await _read_rows(store):
         assert row.value is not None, 'a table holds rows with values'
         try:
-            held[row.key.removeprefix(HELD_PREFIX)] = read_held(row.value)
+            held[row.key.removeprefix(HELD_PREFIX)] = decode_held_row(
+                row.value
+            )
         except ValueError as error:
             print(f'{row.key}: {error}', file=sys.stderr)
     return dict(sorted(held.items(), key=lambda item: item[1].held_at_ms))
--- a/src/lifttrestle/internal/fleet/crashes/held_row.py
+++ b/src/lifttrestle/internal/fleet/crashes/held_row.py
@@ -39,14 +39,14 @@
     trials: int = 0
 
 
-def name_request(digest: int) -> str:
+def format_digest(digest: int) -> str:
     """Return how a digest is written in logs, rows and answers."""
     return f'{digest:016x}'
 
 
 def build_key(digest: int) -> str:
     """Return the key of a request's row."""
-    return f'{HELD_PREFIX}{name_request(digest)}'
+    return f'{HELD_PREFIX}{format_digest(digest)}'
 
 
 def read_key(key: str) -> int:
@@ -62,7 +62,7 @@
     return msgspec.json.encode(row)
 
 
-def read_held(value: bytes) -> HeldRow:
+def decode_held_row(value: bytes) -> HeldRow:
     """Return what a row's bytes say.
 
     :raises ValueError: if they hold no such row.
--- a/src/lifttrestle/internal/fleet/crashes/holds.py
+++ b/src/lifttrestle/internal/fleet/crashes/holds.py
@@ -27,10 +27,10 @@
 from lifttrestle.internal.clock.beat import Beat
 from lifttrestle.internal.clock.clock import Clock
 from lifttrestle.internal.fleet.crashes.held_row import build_key
+from lifttrestle.internal.fleet.crashes.held_row import decode_held_row
+from lifttrestle.internal.fleet.crashes.held_row import format_digest
 from lifttrestle.internal.fleet.crashes.held_row import HELD_PREFIX
 from lifttrestle.internal.fleet.crashes.held_row import HeldRow
-from lifttrestle.internal.fleet.crashes.held_row import name_request
-from lifttrestle.internal.fleet.crashes.held_row import read_held
 from lifttrestle.internal.fleet.crashes.held_row import read_key
 from lifttrestle.internal.fleet.crashes.held_row import write_held
 from lifttrestle.internal.fleet.crashes.judgement import choose_evicted
@@ -134,7 +134,7 @@
             return
         try:
             digest = read_key(row.key)
-            held = None if row.value is None else read_held(row.value)
+            held = None if row.value is None else decode_held_row(row.value)
         except ValueError as error:
             self._refusals.note('holds', row.key, error)
             return
@@ -157,7 +157,7 @@
         # A write that was to follow must not bring it back.
         self._due.pop(digest, None)
         self._held.pop(digest, None)
-        LOG.warning('hold.lifted', digest=name_request(digest))
+        LOG.warning('hold.lifted', digest=format_digest(digest))
         self.tell_lifted(digest)
 
     def check_epoch(self) -> None:
@@ -230,7 +230,7 @@
         except PlatformUnavailable as error:
             LOG.warning(
                 'hold.not_written',
-                digest=name_request(digest),
+                digest=format_digest(digest),
                 reason=str(error),
             )
             due.at = self._clock.monotonic() + due.pause
@@ -261,7 +261,7 @@
         except (ConditionFailed, PlatformUnavailable) as error:
             LOG.info('hold.trial_not_claimed', reason=str(error))
             return False
-        LOG.warning('hold.trial', digest=name_request(digest))
+        LOG.warning('hold.trial', digest=format_digest(digest))
         return True
 
     async def _put(
--- a/src/lifttrestle/internal/fleet/crashes/ledger.py
+++ b/src/lifttrestle/internal/fleet/crashes/ledger.py
@@ -73,7 +73,7 @@
             record.crashed[start] = self._clock.monotonic()
         return bool(new)
 
-    def note_good_end(self, digest: int) -> bool:
+    def note_success(self, digest: int) -> bool:
         """Note a good end; return whether that clears the request."""
         self._good[digest] = None
         self._good.move_to_end(digest)
--- a/src/lifttrestle/internal/fleet/crashes/loss_watch.py
+++ b/src/lifttrestle/internal/fleet/crashes/loss_watch.py
@@ -41,7 +41,7 @@
 MAX_LOST = 256
 
 
-class StartSign(enum.Enum):
+class StartEvidence(enum.Enum):
     """What is learned of a start that broke off an answer."""
 
     # Its address refused a connection.
@@ -75,32 +75,32 @@
 
 
 SIGNS = {
-    StartEnd.REPLACED: StartSign.REPLACED,
-    StartEnd.VANISHED: StartSign.VANISHED,
-    StartEnd.WITHDRAWN: StartSign.WITHDRAWN,
+    StartEnd.REPLACED: StartEvidence.REPLACED,
+    StartEnd.VANISHED: StartEvidence.VANISHED,
+    StartEnd.WITHDRAWN: StartEvidence.WITHDRAWN,
 }
 CRASHED_STATES = (LossState.CRASHED, LossState.PROVED)
 TRANSITIONS = {
-    (LossState.OPEN, StartSign.REFUSED): LossState.CRASHED,
-    (LossState.OPEN, StartSign.ACCEPTED): LossState.REACHED,
-    (LossState.OPEN, StartSign.ANSWERED): LossState.SOUND,
-    (LossState.OPEN, StartSign.REPLACED): LossState.PROVED,
-    (LossState.OPEN, StartSign.VANISHED): LossState.PROVED,
-    (LossState.OPEN, StartSign.WITHDRAWN): LossState.SOUND,
-    (LossState.OPEN, StartSign.STILL_LISTED): LossState.SOUND,
+    (LossState.OPEN, StartEvidence.REFUSED): LossState.CRASHED,
+    (LossState.OPEN, StartEvidence.ACCEPTED): LossState.REACHED,
+    (LossState.OPEN, StartEvidence.ANSWERED): LossState.SOUND,
+    (LossState.OPEN, StartEvidence.REPLACED): LossState.PROVED,
+    (LossState.OPEN, StartEvidence.VANISHED): LossState.PROVED,
+    (LossState.OPEN, StartEvidence.WITHDRAWN): LossState.SOUND,
+    (LossState.OPEN, StartEvidence.STILL_LISTED): LossState.SOUND,
     # The listener may close a moment after the connections.
-    (LossState.REACHED, StartSign.REFUSED): LossState.CRASHED,
-    (LossState.REACHED, StartSign.ANSWERED): LossState.SOUND,
-    (LossState.REACHED, StartSign.REPLACED): LossState.PROVED,
-    (LossState.REACHED, StartSign.VANISHED): LossState.SOUND,
-    (LossState.REACHED, StartSign.WITHDRAWN): LossState.SOUND,
-    (LossState.REACHED, StartSign.STILL_LISTED): LossState.SOUND,
+    (LossState.REACHED, StartEvidence.REFUSED): LossState.CRASHED,
+    (LossState.REACHED, StartEvidence.ANSWERED): LossState.SOUND,
+    (LossState.REACHED, StartEvidence.REPLACED): LossState.PROVED,
+    (LossState.REACHED, StartEvidence.VANISHED): LossState.SOUND,
+    (LossState.REACHED, StartEvidence.WITHDRAWN): LossState.SOUND,
+    (LossState.REACHED, StartEvidence.STILL_LISTED): LossState.SOUND,
     # A cut link may refuse connections, too.
-    (LossState.CRASHED, StartSign.ANSWERED): LossState.SOUND,
-    (LossState.CRASHED, StartSign.REPLACED): LossState.PROVED,
-    (LossState.CRASHED, StartSign.VANISHED): LossState.PROVED,
-    (LossState.CRASHED, StartSign.WITHDRAWN): LossState.SOUND,
-    (LossState.CRASHED, StartSign.STILL_LISTED): LossState.SOUND,
+    (LossState.CRASHED, StartEvidence.ANSWERED): LossState.SOUND,
+    (LossState.CRASHED, StartEvidence.REPLACED): LossState.PROVED,
+    (LossState.CRASHED, StartEvidence.VANISHED): LossState.PROVED,
+    (LossState.CRASHED, StartEvidence.WITHDRAWN): LossState.SOUND,
+    (LossState.CRASHED, StartEvidence.STILL_LISTED): LossState.SOUND,
 }
 
 
@@ -160,15 +160,15 @@
         """Note an answer to what was sent at sent_at."""
         loss = self._losses.get(upstream.start)
         if loss is not None and sent_at > loss.lost_at:
-            self.note_sign(upstream.start, StartSign.ANSWERED)
+            self.note_evidence(upstream.start, StartEvidence.ANSWERED)
 
-    def note_sign(self, start: str, sign: StartSign) -> None:
+    def note_evidence(self, start: str, sign: StartEvidence) -> None:
         """Judge a start by something that was learned of it."""
         loss = self._losses.get(start)
         if loss is None:
             return
         late = self._clock.monotonic() - loss.lost_at > REFUSED_SECONDS
-        if sign is StartSign.REFUSED and late:
+        if sign is StartEvidence.REFUSED and late:
             return
         before = loss.state
         loss.state = TRANSITIONS.get((before, sign), before)
@@ -194,13 +194,13 @@
     def note_probed(self, start: str, taken: bool, refused: bool) -> None:
         """Note whether a probe of a start's address was taken."""
         if taken:
-            self.note_sign(start, StartSign.ACCEPTED)
+            self.note_evidence(start, StartEvidence.ACCEPTED)
         elif refused:
-            self.note_sign(start, StartSign.REFUSED)
+            self.note_evidence(start, StartEvidence.REFUSED)
 
     def note_ended(self, upstream: FleetUpstream, end: StartEnd) -> None:
         """Note that a start is listed no more."""
-        self.note_sign(upstream.start, SIGNS[end])
+        self.note_evidence(upstream.start, SIGNS[end])
 
     def count_open(self, digest: int) -> int:
         """Return how many starts a request lost that may have crashed."""
@@ -222,7 +222,7 @@
         ]
         for start in due:
             if is_listed(start):
-                self.note_sign(start, StartSign.STILL_LISTED)
+                self.note_evidence(start, StartEvidence.STILL_LISTED)
             self._losses.pop(start, None)
 
 
--- a/src/lifttrestle/internal/fleet/crashes/memory.py
+++ b/src/lifttrestle/internal/fleet/crashes/memory.py
@@ -17,8 +17,8 @@
 
 from lifttrestle.internal.clock.beat import Beat
 from lifttrestle.internal.clock.clock import Clock
+from lifttrestle.internal.fleet.crashes.held_row import format_digest
 from lifttrestle.internal.fleet.crashes.held_row import HeldRow
-from lifttrestle.internal.fleet.crashes.held_row import name_request
 from lifttrestle.internal.fleet.crashes.holds import build_held
 from lifttrestle.internal.fleet.crashes.holds import HoldRows
 from lifttrestle.internal.fleet.crashes.holds import MAX_HELD
@@ -26,8 +26,8 @@
 from lifttrestle.internal.fleet.crashes.judgement import may_try_again
 from lifttrestle.internal.fleet.crashes.ledger import CrashLedger
 from lifttrestle.internal.fleet.crashes.loss_watch import LossWatch
-from lifttrestle.internal.fleet.crashes.messages import CrashNews
-from lifttrestle.internal.fleet.crashes.telling import CrashTelling
+from lifttrestle.internal.fleet.crashes.messages import CrashUpdate
+from lifttrestle.internal.fleet.crashes.telling import CrashReplicator
 from lifttrestle.internal.fleet.state.directory import UpstreamDirectory
 from lifttrestle.internal.fleet.state.roster import Roster
 from lifttrestle.internal.fleet.state.rows import RowStore
@@ -58,11 +58,11 @@
 UNKNOWN_ORIGIN = RequestOrigin('', '')
 
 
-class CrashMemory:
+class CrashTracker:
     """Knows which requests must not run, and learns it from what is lost.
 
     :ivar losses: judges whether upstreams that broke off have crashed.
-    :ivar telling: tells other routers.
+    :ivar replicator: tells other routers.
     :ivar holds: the rows that outlive all routers.
     """
 
@@ -87,7 +87,7 @@
         self.holds.is_wanted = self._ledger.is_dangerous
         self.holds.tell_lost = self._rewrite_lost
         self.holds.tell_undeleted = self._remove_undeleted
-        self.telling = CrashTelling(vm, self._ledger, roster, clock)
+        self.replicator = CrashReplicator(vm, self._ledger, roster, clock)
         self.losses = LossWatch(clock, heartbeat_seconds)
         self.losses.tell_crashed = self._note_crashed
         self.losses.tell_sound = self._note_sound
@@ -95,7 +95,9 @@
     async def run(self, beat: Beat) -> None:
         """Tell, write and look again, for ever."""
         await asyncio.gather(
-            self.telling.run(), self.holds.run(beat), self._run_looking(beat)
+            self.replicator.run(),
+            self.holds.run(beat),
+            self._run_looking(beat),
         )
 
     async def _run_looking(self, beat: Beat) -> None:
@@ -112,7 +114,7 @@
             digest
         )
 
-    def must_end(self, digest: int) -> bool:
+    def must_not_retry(self, digest: int) -> bool:
         """Return whether a request that was just lost is not to go on.
 
         What it has lost counts at once: to find out whether an upstream has
@@ -153,25 +155,25 @@
         self._origins[digest] = origin
         self.losses.note_lost(digest, upstream)
 
-    def note_good_end(self, digest: int) -> None:
+    def note_success(self, digest: int) -> None:
         """Note that an upstream served a request.
 
         A failure or rejection of its own is no good end: an upstream may
         answer so before it begins to run a request.
         """
-        cleared = self._ledger.note_good_end(digest)
+        cleared = self._ledger.note_success(digest)
         held = self.holds.get(digest) is not None
         if cleared:
-            LOG.info('hold.cleared', digest=name_request(digest))
-            self.telling.tell(digest)
+            LOG.info('hold.cleared', digest=format_digest(digest))
+            self.replicator.tell(digest)
         if held:
             self.holds.write_later(digest, 0.0, None)
 
-    def take_row(self, row: VersionedRow) -> None:
+    def apply_row(self, row: VersionedRow) -> None:
         """Take in a changed row of the routers' table."""
         self.holds.take(row)
 
-    def take_news(self, news: CrashNews) -> None:
+    def handle_update(self, news: CrashUpdate) -> None:
         """Take in what another router has told."""
         replies = []
         for item in news.items:
@@ -185,7 +187,7 @@
             tell = told_here if before else counted_here
             self._judge(item.digest, before, HEARER_SECONDS, tell=tell)
         if replies:
-            self.telling.reply(news.vm, replies)
+            self.replicator.reply(news.vm, replies)
 
     def _note_crashed(self, digest: int, start: int) -> None:
         before = self._ledger.is_dangerous(digest)
@@ -193,16 +195,16 @@
             return
         LOG.info(
             'crash.noted',
-            digest=name_request(digest),
+            digest=format_digest(digest),
             crashed=self._ledger.count_crashed(digest),
         )
-        self.telling.tell(digest)
+        self.replicator.tell(digest)
         self._judge(digest, before, OBJECTION_SECONDS, tell=True)
 
     def _note_sound(self, digest: int, start: int) -> None:
         """Take back what was believed of an upstream."""
         if self._ledger.forgive(digest, [start]):
-            self.telling.tell(digest)
+            self.replicator.tell(digest)
 
     def _judge(
         self, digest: int, before: bool, seconds: float, *, tell: bool
@@ -212,9 +214,9 @@
         if before == dangerous:
             return
         if tell:
-            self.telling.tell(digest)
+            self.replicator.tell(digest)
         seen_here = digest in self._origins
-        writes = seen_here or self.telling.is_counter(digest)
+        writes = seen_here or self.replicator.is_counter(digest)
         if not dangerous:
             # Nothing is written of it, or what was written goes.
             if writes:
@@ -224,7 +226,7 @@
         crashed = self._ledger.count_crashed(digest)
         LOG.warning(
             'hold.begun',
-            digest=name_request(digest),
+            digest=format_digest(digest),
             crashed=crashed,
             workspace=origin.workspace,
             route=origin.route,
@@ -245,12 +247,12 @@
         """
         if row.by == self._vm:
             self.holds.repair_later(digest, 0.0, row)
-        elif self.telling.is_counter(digest):
+        elif self.replicator.is_counter(digest):
             self.holds.repair_later(digest, HEARER_SECONDS, row)
 
     def _remove_undeleted(self, digest: int) -> None:
         """Schedule the removal of an undeleted row."""
-        if self.telling.is_counter(digest):
+        if self.replicator.is_counter(digest):
             self.holds.repair_later(digest, 0.0, None)
 
     def _forget(self, digest: int) -> None:
--- a/src/lifttrestle/internal/fleet/crashes/messages.py
+++ b/src/lifttrestle/internal/fleet/crashes/messages.py
@@ -35,7 +35,7 @@
     ended_well: bool = False
 
 
-class CrashNews(msgspec.Struct, frozen=True, array_like=True, tag=4):
+class CrashUpdate(msgspec.Struct, frozen=True, array_like=True, tag=4):
     """What is new; the same may be told again, and in any order."""
 
     vm: str
--- a/src/lifttrestle/internal/fleet/crashes/telling.py
+++ b/src/lifttrestle/internal/fleet/crashes/telling.py
@@ -22,7 +22,7 @@
 
 from lifttrestle.internal.clock.clock import Clock
 from lifttrestle.internal.fleet.crashes.ledger import CrashLedger
-from lifttrestle.internal.fleet.crashes.messages import CrashNews
+from lifttrestle.internal.fleet.crashes.messages import CrashUpdate
 from lifttrestle.internal.fleet.state.roster import Roster
 from lifttrestle.internal.fleet.state.roster import ROUTER_PREFIX
 from lifttrestle.internal.routing.rendezvous import rank_names
@@ -40,10 +40,10 @@
 # Requests that wait to be told of.
 MAX_WAITING = 2048
 DIGEST_BYTES = 8
-Send = Callable[[CrashNews, str], None]
+Send = Callable[[CrashUpdate, str], None]
 
 
-class CrashTelling:
+class CrashReplicator:
     """Tells what is new, and tells it again.
 
     :ivar send: sends a message to the router with a key.
@@ -75,7 +75,7 @@
     def reply(self, vm: str, digests: list[int]) -> None:
         """Tell one router of requests that it should know more of."""
         items = [self._ledger.build_item(digest) for digest in digests]
-        self.send(CrashNews(self._vm, items), f'{ROUTER_PREFIX}{vm}')
+        self.send(CrashUpdate(self._vm, items), f'{ROUTER_PREFIX}{vm}')
 
     async def run(self) -> None:
         """Tell what is new, for ever."""
@@ -103,7 +103,7 @@
             for first in range(0, len(digests), MAX_ITEMS):
                 part = digests[first : first + MAX_ITEMS]
                 items = [self._ledger.build_item(digest) for digest in part]
-                self.send(CrashNews(self._vm, items), key)
+                self.send(CrashUpdate(self._vm, items), key)
         self._waiting = {
             digest: left - 1
             for digest, left in self._waiting.items()
--- a/src/lifttrestle/internal/fleet/path/exchange.py
+++ b/src/lifttrestle/internal/fleet/path/exchange.py
@@ -27,8 +27,8 @@
 from lifttrestle.internal.exchange.attempts import Verdict
 from lifttrestle.internal.exchange.progress import RequestEvent
 from lifttrestle.internal.exchange.progress import RequestProgress
-from lifttrestle.internal.fleet.crashes.held_row import name_request
-from lifttrestle.internal.fleet.crashes.loss_watch import StartSign
+from lifttrestle.internal.fleet.crashes.held_row import format_digest
+from lifttrestle.internal.fleet.crashes.loss_watch import StartEvidence
 from lifttrestle.internal.fleet.crashes.memory import RequestOrigin
 from lifttrestle.internal.fleet.parts import FleetParts
 from lifttrestle.internal.fleet.path.answer_passing import AnswerPassing
@@ -163,7 +163,7 @@
                 request.get_left(),
                 self._parts.shutdown.get_left(),
             ),
-            digest=name_request(request.digest),
+            digest=format_digest(request.digest),
         )
         self._parts.get_budget(request.service).note_request()
         try:
@@ -219,7 +219,7 @@
             )
         if request.runs == 0:
             return Verdict.AGAIN
-        if self._parts.crashes.must_end(request.digest):
+        if self._parts.crashes.must_not_retry(request.digest):
             raise request.give_up(
                 ErrorKind.UPSTREAM_FAILED,
                 f'upstreams crash under this request: {error}',
@@ -251,7 +251,7 @@
         if isinstance(error, UpstreamDeclined):
             self._note_declined(upstream, now)
             if upstream.misdirected:
-                losses.note_sign(upstream.start, StartSign.REPLACED)
+                losses.note_evidence(upstream.start, StartEvidence.REPLACED)
         elif isinstance(error, UpstreamConnectFailed):
             upstream.reach.note_unreached()
             losses.note_probed(upstream.start, False, error.refused)
@@ -299,7 +299,7 @@
             raise
         if answer.facts.status < FIRST_ERROR:
             # An upstream may reject what it has not begun to run.
-            self._parts.crashes.note_good_end(self._context.digest)
+            self._parts.crashes.note_success(self._context.digest)
         self._parts.metrics.count_attempt(self._context.service, 'good')
         upstream.breaker.note_success()
         upstream.pool.give_back(connection)
--- a/src/lifttrestle/internal/fleet/path/request_context.py
+++ b/src/lifttrestle/internal/fleet/path/request_context.py
@@ -17,7 +17,7 @@
 from lifttrestle.errors import RequestRefused
 from lifttrestle.internal.exchange.progress import RequestProgress
 from lifttrestle.internal.exchange.progress import RequestState
-from lifttrestle.internal.fleet.crashes.held_row import name_request
+from lifttrestle.internal.fleet.crashes.held_row import format_digest
 from lifttrestle.internal.fleet.parts import FleetParts
 from lifttrestle.internal.fleet.path.dialect import RequestFacts
 from lifttrestle.internal.fleet.path.story import build_usage
@@ -155,7 +155,7 @@
         return RequestRefused(
             ErrorKind.CRASHES_UPSTREAMS,
             'upstreams have crashed under this request; it is held as'
-            f' {name_request(self.digest)}',
+            f' {format_digest(self.digest)}',
         )
 
     def give_up(self, kind: ErrorKind, message: str) -> RequestRefused:
--- a/src/lifttrestle/internal/fleet/process.py
+++ b/src/lifttrestle/internal/fleet/process.py
@@ -24,8 +24,8 @@
 from lifttrestle.internal.clock.beat import Beat
 from lifttrestle.internal.clock.clock import Clock
 from lifttrestle.internal.fleet.control_tasks import ControlTasks
-from lifttrestle.internal.fleet.crashes.memory import CrashMemory
-from lifttrestle.internal.fleet.crashes.messages import CrashNews
+from lifttrestle.internal.fleet.crashes.memory import CrashTracker
+from lifttrestle.internal.fleet.crashes.messages import CrashUpdate
 from lifttrestle.internal.fleet.gauges import watch_parts
 from lifttrestle.internal.fleet.gauges import WatchedParts
 from lifttrestle.internal.fleet.limits.memory import UpstreamLimits
@@ -164,7 +164,7 @@
         self._upstreams_watch.restart_with(self._operator_watch)
         self._routers_watch.restart_with(self._operator_watch)
         self.stores = CacheStores(clock)
-        self.crashes = CrashMemory(
+        self.crashes = CrashTracker(
             settings.vm,
             store,
             self._directory,
@@ -224,8 +224,8 @@
             refusals,
             self._usage,
         )
-        self._peer_loads.hear(CrashNews, self.crashes.take_news)
-        self.crashes.telling.send = self._peer_loads.send
+        self._peer_loads.hear(CrashUpdate, self.crashes.handle_update)
+        self.crashes.replicator.send = self._peer_loads.send
         self.limits.connect(
             self._peer_loads.hear, self._peer_loads.send, metrics.count_permit
         )
@@ -310,7 +310,7 @@
         self.roster.loaded = True
         self.roster.take(row)
         self._weights.take(row)
-        self.crashes.take_row(row)
+        self.crashes.apply_row(row)
 
     def _note_ended(self, upstream: FleetUpstream, end: StartEnd) -> None:
         self.crashes.losses.note_ended(upstream, end)
--- a/src/lifttrestle/internal/fleet/state/load_messages.py
+++ b/src/lifttrestle/internal/fleet/state/load_messages.py
@@ -19,7 +19,7 @@
 
 import msgspec
 
-from lifttrestle.internal.fleet.crashes.messages import CrashNews
+from lifttrestle.internal.fleet.crashes.messages import CrashUpdate
 from lifttrestle.internal.fleet.limits.messages import LimitCall
 from lifttrestle.internal.fleet.limits.messages import LimitNews
 from lifttrestle.internal.fleet.limits.messages import PermitAnswer
@@ -91,7 +91,7 @@
 
 
 LimitMessage = LimitNews | LimitCall | PermitQuery | PermitAnswer
-LoadMessage = LoadReport | GroupSum | FleetSum | CrashNews | LimitMessage
+LoadMessage = LoadReport | GroupSum | FleetSum | CrashUpdate | LimitMessage
 
 
 def read_message(data: bytes) -> LoadMessage:
--- a/tests/cover/test_crash_ledger.py
+++ b/tests/cover/test_crash_ledger.py
@@ -109,7 +109,7 @@
     def test_good_end_clears(self):
         ledger, _ = make_ledger()
         ledger.note_crashes(DIGEST, STARTS)
-        self.assertTrue(ledger.note_good_end(DIGEST))
+        self.assertTrue(ledger.note_success(DIGEST))
         self.assertFalse(ledger.is_dangerous(DIGEST))
         # The same crashes are told again, by one that is behind.
         ledger.merge(CrashItem(DIGEST, STARTS))
@@ -117,7 +117,7 @@
 
     def test_good_end_of_earlier_is_told_to_one_that_does_not_know(self):
         ledger, _ = make_ledger()
-        ledger.note_good_end(DIGEST)
+        ledger.note_success(DIGEST)
         self.assertTrue(ledger.merge(CrashItem(DIGEST, STARTS)))
         self.assertFalse(ledger.is_dangerous(DIGEST))
         known = CrashItem(DIGEST, STARTS, ended_well=True)
@@ -133,7 +133,7 @@
         ledger, _ = make_ledger()
         for digest in range(2 * MAX_RECORDS):
             ledger.note_crashes(digest, [1])
-            ledger.note_good_end(digest)
+            ledger.note_success(digest)
         self.assertEqual(len(ledger._records), MAX_RECORDS)
         self.assertLessEqual(len(ledger._good), 2 * MAX_RECORDS)
         ledger.note_crashes(DIGEST, list(range(5000)))
--- a/tests/cover/test_crash_memory.py
+++ b/tests/cover/test_crash_memory.py
@@ -20,7 +20,7 @@
 from lifttrestle.internal.fleet.crashes.holds import MAX_HELD
 from lifttrestle.internal.fleet.crashes.judgement import HOLD_SECONDS
 from lifttrestle.internal.fleet.crashes.messages import CrashItem
-from lifttrestle.internal.fleet.crashes.messages import CrashNews
+from lifttrestle.internal.fleet.crashes.messages import CrashUpdate
 from lifttrestle.internal.fleet.crashes.telling import COUNTERS
 from lifttrestle.internal.fleet.crashes.telling import MAX_ITEMS
 from lifttrestle.internal.fleet.crashes.telling import TELLS
@@ -43,7 +43,7 @@
                     for number in range(3):
                         self.assertEqual(fleet.count_knowing(DIGEST), 0)
                         fleet.crash(number, number, [DIGEST])
-                        fleet.tell()
+                        fleet.send_updates()
                     known = fleet.count_knowing(DIGEST)
                     # The row tells those that no message reached.
                     self.assertGreaterEqual(known, 0.97 * routers)
@@ -55,15 +55,15 @@
                 fleet = CrashFleet(routers)
                 for number in range(20):
                     fleet.crash(number, 0, [DIGEST + number])
-                fleet.tell()
+                fleet.send_updates()
                 self.assertLessEqual(fleet.messages, 20 * COUNTERS * TELLS)
 
     def test_one_that_ended_well_elsewhere_is_not_held(self):
         fleet = CrashFleet(82)
-        fleet.memories[81].note_good_end(DIGEST)
+        fleet.trackers[81].note_success(DIGEST)
         for number in range(5):
             fleet.crash(number, number, [DIGEST])
-        fleet.tell()
+        fleet.send_updates()
         self.assertEqual(fleet.count_knowing(DIGEST), 0)
         rows = asyncio.run(self.write_all(fleet))
         self.assertEqual(rows, [])
@@ -72,19 +72,19 @@
         fleet = CrashFleet(82)
         for number in range(3):
             fleet.crash(number, number, [DIGEST])
-        fleet.tell()
+        fleet.send_updates()
         self.assertEqual(fleet.count_knowing(DIGEST), 82)
         # It was under way when the others crashed.
-        fleet.memories[81].note_good_end(DIGEST)
-        fleet.tell()
+        fleet.trackers[81].note_success(DIGEST)
+        fleet.send_updates()
         self.assertEqual(fleet.count_knowing(DIGEST), 0)
 
     def test_few_routers_write_the_row(self):
         fleet = CrashFleet(195)
         for number in range(3):
             fleet.crash(number, number, [DIGEST])
-            fleet.tell()
-        writers = [item for item in fleet.memories if item.holds._due]
+            fleet.send_updates()
+        writers = [item for item in fleet.trackers if item.holds._due]
         self.assertLessEqual(len(writers), 3 + COUNTERS)
         rows = asyncio.run(self.write_all(fleet))
         self.assertEqual(rows, [build_key(DIGEST)])
@@ -92,7 +92,7 @@
     async def write_all(self, fleet):
         """Have each router write what is due; return the rows' keys."""
         fleet.clock.advance(2.0)
-        for memory in fleet.memories:
+        for memory in fleet.trackers:
             await memory.holds.write_due()
         return [
             row.key for row in (await fleet.rows.read_table(FLEET_TABLE)).rows
@@ -101,14 +101,14 @@
     def test_message_fits_a_datagram(self):
         starts = list(range(2**32 - 64, 2**32))
         item = CrashItem(2**64 - 1, starts[:8], starts[8:16], True)
-        news = CrashNews('front-bkk-lakkrabang-12', [item] * MAX_ITEMS)
+        news = CrashUpdate('front-bkk-lakkrabang-12', [item] * MAX_ITEMS)
         self.assertLess(len(write_message(news)), MAX_DATAGRAM_BYTES)
 
 
 class TestRows(unittest.TestCase):
     def setUp(self):
         self.fleet = CrashFleet(1, upstreams=12)
-        self.holds = self.fleet.memories[0].holds
+        self.holds = self.fleet.trackers[0].holds
 
     def hold(self, digest, workspace='acme'):
         row = build_held(self.fleet.clock, workspace, 'safe', 3, 'r0')
@@ -117,9 +117,9 @@
 
     def test_hold_ends_some_time_and_can_begin_anew(self):
         self.hold(DIGEST)
-        self.assertTrue(self.fleet.memories[0].is_held(DIGEST))
+        self.assertTrue(self.fleet.trackers[0].is_held(DIGEST))
         self.fleet.clock.advance(HOLD_SECONDS + 1)
-        self.assertFalse(self.fleet.memories[0].is_held(DIGEST))
+        self.assertFalse(self.fleet.trackers[0].is_held(DIGEST))
         for upstream in range(3):
             self.fleet.crash(0, upstream, [DIGEST])
         self.fleet.clock.advance(1.0)
--- a/tests/cover/test_restored_holds.py
+++ b/tests/cover/test_restored_holds.py
@@ -20,7 +20,7 @@
 from lifttrestle.internal.fleet.crashes.held_row import build_key
 from lifttrestle.internal.fleet.crashes.held_row import write_held
 from lifttrestle.internal.fleet.crashes.holds import build_held
-from lifttrestle.internal.fleet.crashes.memory import CrashMemory
+from lifttrestle.internal.fleet.crashes.memory import CrashTracker
 from lifttrestle.internal.fleet.crashes.memory import HEARER_SECONDS
 from lifttrestle.internal.fleet.state.directory import UpstreamDirectory
 from lifttrestle.internal.fleet.state.roster import FLEET_TABLE
@@ -44,7 +44,7 @@
         self.memory = self.make_memory('one')
 
     def make_memory(self, vm):
-        return CrashMemory(
+        return CrashTracker(
             vm,
             self.rows,
             UpstreamDirectory(PlatformFormat(), self.clock),
@@ -57,7 +57,7 @@
         """Take in a row of the held request, written by the given router."""
         row = build_held(self.clock, 'acme', 'safe', 3, by)
         value = write_held(row)
-        self.memory.take_row(VersionedRow(KEY, value, 7))
+        self.memory.apply_row(VersionedRow(KEY, value, 7))
         return value
 
     def write_due(self):
@@ -71,7 +71,7 @@
         value = self.take_held_row('one')
         version = build_version(1, 5)
         lost = VersionedRow(KEY, None, version, RowOrigin.LOST)
-        self.memory.take_row(lost)
+        self.memory.apply_row(lost)
         self.assertTrue(self.memory.is_held(DIGEST))
         self.write_due()
         self.assertEqual(self.get_row().value, value)
@@ -81,7 +81,7 @@
         # Otherwise the row stays lost if the router that wrote it is gone.
         value = self.take_held_row('other')
         version = build_version(1, 5)
-        self.memory.take_row(VersionedRow(KEY, None, version, RowOrigin.LOST))
+        self.memory.apply_row(VersionedRow(KEY, None, version, RowOrigin.LOST))
         self.write_due()
         self.assertIsNone(self.get_row().value)
         self.clock.advance(HEARER_SECONDS)
@@ -92,8 +92,8 @@
         # Otherwise each router that counts the request would write it.
         value = self.take_held_row('other')
         version = build_version(1, 5)
-        self.memory.take_row(VersionedRow(KEY, None, version, RowOrigin.LOST))
-        self.memory.take_row(VersionedRow(KEY, value, version + 1))
+        self.memory.apply_row(VersionedRow(KEY, None, version, RowOrigin.LOST))
+        self.memory.apply_row(VersionedRow(KEY, value, version + 1))
         self.clock.advance(HEARER_SECONDS)
         self.write_due()
         self.assertIsNone(self.get_row().value)
@@ -101,9 +101,9 @@
     def test_regression_request_that_was_lifted_was_held_again(self):
         # An undeleted row was taken for a newly written one.
         value = self.take_held_row('one')
-        self.memory.take_row(VersionedRow(KEY, None, 8))
+        self.memory.apply_row(VersionedRow(KEY, None, 8))
         version = self.rows.put(FLEET_TABLE, KEY, value)
-        self.memory.take_row(
+        self.memory.apply_row(
             VersionedRow(KEY, value, version, RowOrigin.UNDELETED)
         )
         self.assertFalse(self.memory.is_held(DIGEST))
@@ -113,13 +113,13 @@
     def test_new_row_of_a_lifted_request_is_not_removed(self):
         # The removal of the undeleted row must not end a later hold.
         value = self.take_held_row('one')
-        self.memory.take_row(VersionedRow(KEY, None, 8))
+        self.memory.apply_row(VersionedRow(KEY, None, 8))
         version = self.rows.put(FLEET_TABLE, KEY, value)
-        self.memory.take_row(
+        self.memory.apply_row(
             VersionedRow(KEY, value, version, RowOrigin.UNDELETED)
         )
         version = self.rows.put(FLEET_TABLE, KEY, value)
-        self.memory.take_row(VersionedRow(KEY, value, version))
+        self.memory.apply_row(VersionedRow(KEY, value, version))
         self.write_due()
         self.assertEqual(self.get_row().value, value)
         self.assertTrue(self.memory.is_held(DIGEST))
@@ -128,7 +128,7 @@
         # The watch reports a row as lost only if it has read that row.
         value = self.take_held_row('one')
         other = VersionedRow('router/x', b'{}', build_version(1, 5))
-        self.memory.take_row(other)
+        self.memory.apply_row(other)
         self.memory.holds.check_epoch()
         self.write_due()
         self.assertEqual(self.get_row().value, value)
--- a/tests/support/crash_fleet.py
+++ b/tests/support/crash_fleet.py
@@ -18,8 +18,8 @@
 import msgspec
 
 from lifttrestle.internal.clock.manual import ManualClock
-from lifttrestle.internal.fleet.crashes.loss_watch import StartSign
-from lifttrestle.internal.fleet.crashes.memory import CrashMemory
+from lifttrestle.internal.fleet.crashes.loss_watch import StartEvidence
+from lifttrestle.internal.fleet.crashes.memory import CrashTracker
 from lifttrestle.internal.fleet.crashes.memory import RequestOrigin
 from lifttrestle.internal.fleet.crashes.telling import TELLS
 from lifttrestle.internal.fleet.state.directory import UpstreamDirectory
@@ -54,7 +54,7 @@
         self._lost_share = lost_share
         self._source = random.Random(1)
         self.directories: list[UpstreamDirectory] = []
-        self.memories: list[CrashMemory] = []
+        self.trackers: list[CrashTracker] = []
         names = [f'router/r{number}' for number in range(routers)]
         for number in range(routers):
             directory = UpstreamDirectory(PlatformFormat(), self.clock)
@@ -69,12 +69,12 @@
             for name in names:
                 row = msgspec.json.encode(RouterRow('a', '127.0.0.1:9'))
                 roster.take(VersionedRow(name, row, 1))
-            memory = CrashMemory(
+            memory = CrashTracker(
                 f'r{number}', self.rows, directory, roster, self.clock, 1.2
             )
-            memory.telling.send = self._send
+            memory.replicator.send = self._send
             self.directories.append(directory)
-            self.memories.append(memory)
+            self.trackers.append(memory)
 
     def _send(self, news, key) -> None:
         data = write_message(news)
@@ -83,22 +83,22 @@
         if self._source.random() < self._lost_share:
             return
         number = int(key.removeprefix('router/r'))
-        self.memories[number].take_news(read_message(data))
+        self.trackers[number].handle_update(read_message(data))
 
     def crash(self, router: int, upstream: int, digests: list[int]) -> None:
         """Have an upstream crash under what one router has there."""
-        memory = self.memories[router]
+        memory = self.trackers[router]
         known = self.directories[router].get(f'p{upstream}')
         for digest in digests:
             memory.note_lost(digest, ORIGIN, known)
-        memory.losses.note_sign(known.start, StartSign.REFUSED)
+        memory.losses.note_evidence(known.start, StartEvidence.REFUSED)
 
-    def tell(self) -> None:
+    def send_updates(self) -> None:
         """Tell all that is new, as often as it is told."""
         for _ in range(TELLS):
-            for memory in self.memories:
-                memory.telling.tell_waiting()
+            for memory in self.trackers:
+                memory.replicator.tell_waiting()
 
     def count_knowing(self, digest: int) -> int:
         """Return how many routers hold a request."""
-        return sum(memory.is_held(digest) for memory in self.memories)
+        return sum(memory.is_held(digest) for memory in self.trackers)
