--- a/src/lifttrestle/internal/fleet/crashes/memory.py
+++ b/src/lifttrestle/internal/fleet/crashes/tracker.py
@@ -27,7 +27,7 @@
 from lifttrestle.internal.fleet.crashes.ledger import CrashLedger
 from lifttrestle.internal.fleet.crashes.loss_watch import LossWatch
 from lifttrestle.internal.fleet.crashes.messages import CrashUpdate
-from lifttrestle.internal.fleet.crashes.telling import CrashReplicator
+from lifttrestle.internal.fleet.crashes.replicator import CrashReplicator
 from lifttrestle.internal.fleet.state.directory import UpstreamDirectory
 from lifttrestle.internal.fleet.state.roster import Roster
 from lifttrestle.internal.fleet.state.rows import RowStore
--- a/src/lifttrestle/internal/fleet/gauges.py
+++ b/src/lifttrestle/internal/fleet/gauges.py
@@ -16,7 +16,7 @@
 import dataclasses
 import functools
 
-from lifttrestle.internal.fleet.crashes.memory import CrashTracker
+from lifttrestle.internal.fleet.crashes.tracker import CrashTracker
 from lifttrestle.internal.fleet.limits.memory import UpstreamLimits
 from lifttrestle.internal.fleet.state.directory import UpstreamDirectory
 from lifttrestle.internal.fleet.state.relay_follower import RelayFollower
--- a/src/lifttrestle/internal/fleet/parts.py
+++ b/src/lifttrestle/internal/fleet/parts.py
@@ -18,7 +18,7 @@
 import random
 
 from lifttrestle.internal.clock.clock import Clock
-from lifttrestle.internal.fleet.crashes.memory import CrashTracker
+from lifttrestle.internal.fleet.crashes.tracker import CrashTracker
 from lifttrestle.internal.fleet.limits.memory import UpstreamLimits
 from lifttrestle.internal.fleet.path.dialect import RequestDialect
 from lifttrestle.internal.fleet.policy.cache_sources import CacheSources
--- a/src/lifttrestle/internal/fleet/path/exchange.py
+++ b/src/lifttrestle/internal/fleet/path/exchange.py
@@ -29,7 +29,7 @@
 from lifttrestle.internal.exchange.progress import RequestProgress
 from lifttrestle.internal.fleet.crashes.held_row import format_digest
 from lifttrestle.internal.fleet.crashes.loss_watch import StartEvidence
-from lifttrestle.internal.fleet.crashes.memory import RequestOrigin
+from lifttrestle.internal.fleet.crashes.tracker import RequestOrigin
 from lifttrestle.internal.fleet.parts import FleetParts
 from lifttrestle.internal.fleet.path.answer_passing import AnswerPassing
 from lifttrestle.internal.fleet.path.candidates import Candidates
--- a/src/lifttrestle/internal/fleet/process.py
+++ b/src/lifttrestle/internal/fleet/process.py
@@ -24,8 +24,8 @@
 from lifttrestle.internal.clock.beat import Beat
 from lifttrestle.internal.clock.clock import Clock
 from lifttrestle.internal.fleet.control_tasks import ControlTasks
-from lifttrestle.internal.fleet.crashes.memory import CrashTracker
 from lifttrestle.internal.fleet.crashes.messages import CrashUpdate
+from lifttrestle.internal.fleet.crashes.tracker import CrashTracker
 from lifttrestle.internal.fleet.gauges import watch_parts
 from lifttrestle.internal.fleet.gauges import WatchedParts
 from lifttrestle.internal.fleet.limits.memory import UpstreamLimits
--- a/tests/cover/test_crash_memory.py
+++ b/tests/cover/test_crash_memory.py
@@ -21,9 +21,9 @@
 from lifttrestle.internal.fleet.crashes.judgement import HOLD_SECONDS
 from lifttrestle.internal.fleet.crashes.messages import CrashItem
 from lifttrestle.internal.fleet.crashes.messages import CrashUpdate
-from lifttrestle.internal.fleet.crashes.telling import COUNTERS
-from lifttrestle.internal.fleet.crashes.telling import MAX_ITEMS
-from lifttrestle.internal.fleet.crashes.telling import TELLS
+from lifttrestle.internal.fleet.crashes.replicator import COUNTERS
+from lifttrestle.internal.fleet.crashes.replicator import MAX_ITEMS
+from lifttrestle.internal.fleet.crashes.replicator import TELLS
 from lifttrestle.internal.fleet.state.load_messages import MAX_DATAGRAM_BYTES
 from lifttrestle.internal.fleet.state.load_messages import write_message
 from lifttrestle.internal.fleet.state.roster import FLEET_TABLE
--- a/tests/cover/test_restored_holds.py
+++ b/tests/cover/test_restored_holds.py
@@ -20,8 +20,8 @@
 from lifttrestle.internal.fleet.crashes.held_row import build_key
 from lifttrestle.internal.fleet.crashes.held_row import write_held
 from lifttrestle.internal.fleet.crashes.holds import build_held
-from lifttrestle.internal.fleet.crashes.memory import CrashTracker
-from lifttrestle.internal.fleet.crashes.memory import HEARER_SECONDS
+from lifttrestle.internal.fleet.crashes.tracker import CrashTracker
+from lifttrestle.internal.fleet.crashes.tracker import HEARER_SECONDS
 from lifttrestle.internal.fleet.state.directory import UpstreamDirectory
 from lifttrestle.internal.fleet.state.roster import FLEET_TABLE
 from lifttrestle.internal.fleet.state.roster import Roster
