--- a/src/lifttrestle/internal/fleet/crashes/held_row.py
+++ b/src/lifttrestle/internal/fleet/crashes/held_row.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""The row of a request that runs no more, in the routers' table."""
+"""Table rows of held requests and their encoding."""
 
 import msgspec
 
@@ -21,14 +21,14 @@
 
 
 class HeldRow(msgspec.Struct, frozen=True):
-    """What operators and other routers are told; never the request itself.
-
-    :ivar workspace: whose request it is.
-    :ivar route: by which it came.
-    :ivar crashed: how many upstreams had crashed under it.
-    :ivar held_at_ms: Unix milliseconds.
-    :ivar by: the router that wrote it.
-    :ivar trials: how often it has run once more since.
+    """Row of a held request; it never contains the request itself.
+
+    :ivar workspace: workspace that sent the request.
+    :ivar route: route of the request.
+    :ivar crashed: number of upstreams that had crashed under the request.
+    :ivar held_at_ms: start of the hold, Unix milliseconds.
+    :ivar by: router that wrote the row.
+    :ivar trials: number of trial runs since the start of the hold.
     """
 
     workspace: str
@@ -40,31 +40,31 @@
 
 
 def format_digest(digest: int) -> str:
-    """Return how a digest is written in logs, rows and answers."""
+    """Return a digest as hexadecimal text for logs, rows and answers."""
     return f'{digest:016x}'
 
 
 def build_key(digest: int) -> str:
-    """Return the key of a request's row."""
+    """Return the key of the row for a request."""
     return f'{HELD_PREFIX}{format_digest(digest)}'
 
 
-def read_key(key: str) -> int:
-    """Return the digest of the request whose row has this key.
+def parse_key(key: str) -> int:
+    """Return the digest of the request from the key of its row.
 
-    :raises ValueError: if it is no such key.
+    :raises ValueError: if the key is not that of a held request.
     """
     return int(key.removeprefix(HELD_PREFIX), HEXADECIMAL)
 
 
-def write_held(row: HeldRow) -> bytes:
-    """Return a row's bytes."""
+def encode_held_row(row: HeldRow) -> bytes:
+    """Return a row encoded as JSON."""
     return msgspec.json.encode(row)
 
 
 def decode_held_row(value: bytes) -> HeldRow:
-    """Return what a row's bytes say.
+    """Return a row decoded from JSON.
 
-    :raises ValueError: if they hold no such row.
+    :raises ValueError: if the bytes are not a valid row.
     """
     return decode_json(value, HeldRow)
--- a/src/lifttrestle/internal/fleet/crashes/holds.py
+++ b/src/lifttrestle/internal/fleet/crashes/holds.py
@@ -10,10 +10,11 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""The requests that run no more, as the routers' table has them.
+"""Rows of held requests in the routers' table.
 
-Messages between routers are gone with the routers; a row outlives them all,
-and is read before a router that starts takes any request.
+A held request is refused instead of run. Messages between routers are lost
+when the routers stop; the rows persist, and a starting router reads them
+before it accepts any request.
 """
 
 import asyncio
@@ -28,11 +29,11 @@
 from lifttrestle.internal.clock.clock import Clock
 from lifttrestle.internal.fleet.crashes.held_row import build_key
 from lifttrestle.internal.fleet.crashes.held_row import decode_held_row
+from lifttrestle.internal.fleet.crashes.held_row import encode_held_row
 from lifttrestle.internal.fleet.crashes.held_row import format_digest
 from lifttrestle.internal.fleet.crashes.held_row import HELD_PREFIX
 from lifttrestle.internal.fleet.crashes.held_row import HeldRow
-from lifttrestle.internal.fleet.crashes.held_row import read_key
-from lifttrestle.internal.fleet.crashes.held_row import write_held
+from lifttrestle.internal.fleet.crashes.held_row import parse_key
 from lifttrestle.internal.fleet.crashes.judgement import choose_evicted
 from lifttrestle.internal.fleet.crashes.judgement import HOLD_SECONDS
 from lifttrestle.internal.fleet.state.roster import FLEET_TABLE
@@ -46,20 +47,21 @@
 from lifttrestle.internal.telemetry.event_log import get_event_log
 
 LOG = get_event_log('crashes')
-LOOK_SECONDS = 0.1
-# Rows at the most, some 200 bytes each. Each has cost three upstreams.
+POLL_SECONDS = 0.1
+# Maximum number of rows, about 200 bytes each. Each row stands for three
+# crashed upstreams.
 MAX_HELD = 500
-# A failed write is tried again so much later, twice that the next time, so
-# that a store that is away is asked ever less often; it has the row within two
-# seconds of its return.
-FIRST_PAUSE_SECONDS = 0.25
-MAX_PAUSE_SECONDS = 2.0
+# Exponential backoff of failed writes, so that an unavailable store gets ever
+# fewer requests. The maximum bounds the time until the row is written after
+# the store has recovered to two seconds.
+FIRST_BACKOFF_SECONDS = 0.25
+MAX_BACKOFF_SECONDS = 2.0
 MILLISECONDS = 1000
 
 
 @dataclasses.dataclass(frozen=True)
 class Hold:
-    """A row with its version, by which it is changed."""
+    """A row and the version that a conditional write expects."""
 
     row: HeldRow
     version: int
@@ -67,28 +69,31 @@
 
 @dataclasses.dataclass
 class DueWrite:
-    """A row that is to be there, or to be gone.
+    """A scheduled write or removal of a row.
 
-    :ivar at: when to write, monotonic seconds.
-    :ivar row: None to remove it.
+    :ivar due_at: time of the write, monotonic seconds.
+    :ivar row: row to write, None to remove it.
     :ivar is_repair: whether the write corrects a restored store; the
-        written row then stays without a check of ``is_wanted``.
+        written row then stays without a check of ``must_hold``.
+    :ivar backoff: delay of the next retry in seconds.
     """
 
-    at: float
+    due_at: float
     row: HeldRow | None
     is_repair: bool = False
-    pause: float = FIRST_PAUSE_SECONDS
+    backoff: float = FIRST_BACKOFF_SECONDS
 
 
 class HoldRows:
-    """Follows the rows of held requests, writes and removes them.
-
-    :ivar tell_lifted: is called with a request whose row was removed.
-    :ivar tell_lost: is called with a request whose row is lost, and that
-        row.
-    :ivar tell_undeleted: is called with a request whose row is undeleted.
-    :ivar is_wanted: returns whether a request is still to be held.
+    """Watches, writes and removes the rows of held requests.
+
+    :ivar on_lifted: called with the digest of a request whose row was
+        removed.
+    :ivar on_lost: called with the digest of a request whose row is lost, and
+        that row.
+    :ivar on_undeleted: called with the digest of a request whose row is
+        undeleted.
+    :ivar must_hold: returns whether a request must still be held.
     """
 
     def __init__(
@@ -99,41 +104,41 @@
         self._refusals = refusals
         self._held: dict[int, Hold] = {}
         self._due: dict[int, DueWrite] = {}
-        # The highest epoch of a received row, and the epoch for which holds
-        # were last checked.
+        # Highest epoch of a received row, and epoch at the last check of the
+        # holds.
         self._epoch = 0
         self._checked_epoch = 0
-        # Versions of undeleted rows, by request.
+        # Versions of undeleted rows by request digest.
         self._undeleted: dict[int, int] = {}
-        self.tell_lifted: Callable[[int], None] = lambda digest: None
-        self.tell_lost: Callable[[int, HeldRow], None] = _tell_nobody
-        self.tell_undeleted: Callable[[int], None] = lambda digest: None
-        self.is_wanted: Callable[[int], bool] = lambda digest: True
+        self.on_lifted: Callable[[int], None] = lambda digest: None
+        self.on_lost: Callable[[int, HeldRow], None] = _ignore
+        self.on_undeleted: Callable[[int], None] = lambda digest: None
+        self.must_hold: Callable[[int], bool] = lambda digest: True
 
     def __len__(self) -> int:
-        """Return how many requests are held."""
+        """Return the number of held requests."""
         return len(self._held)
 
     def get(self, digest: int) -> Hold | None:
-        """Return the hold of a request, None if it has none that counts."""
+        """Return the hold of a request, None without one or if expired."""
         hold = self._held.get(digest)
         if hold is None or self.get_age(hold) >= HOLD_SECONDS:
             return None
         return hold
 
     def get_age(self, hold: Hold) -> float:
-        """Return for how many seconds a request has been held."""
+        """Return the age of a hold in seconds."""
         return self._clock.now().timestamp() - (
             hold.row.held_at_ms / MILLISECONDS
         )
 
-    def take(self, row: VersionedRow) -> None:
-        """Take in a changed row of the routers' table."""
+    def apply_row(self, row: VersionedRow) -> None:
+        """Apply a changed row of the routers' table."""
         self._epoch = max(self._epoch, get_epoch(row.version))
         if not row.key.startswith(HELD_PREFIX):
             return
         try:
-            digest = read_key(row.key)
+            digest = parse_key(row.key)
             held = None if row.value is None else decode_held_row(row.value)
         except ValueError as error:
             self._refusals.note('holds', row.key, error)
@@ -142,23 +147,23 @@
             self._keep_lost_hold(digest)
             return
         if row.origin is RowOrigin.UNDELETED:
-            # The request was lifted, so it is not held again.
+            # An operator had lifted the hold, so it is not restored.
             self._undeleted[digest] = row.version
-            self.tell_undeleted(digest)
+            self.on_undeleted(digest)
             return
         self._undeleted.pop(digest, None)
         due = self._due.get(digest)
         if held is not None:
             self._held[digest] = Hold(held, row.version)
             if due is not None and (due.row is not None or due.is_repair):
-                # Another router was sooner.
+                # Another router has written the row first.
                 del self._due[digest]
             return
-        # A write that was to follow must not bring it back.
+        # A scheduled write must not restore the removed row.
         self._due.pop(digest, None)
         self._held.pop(digest, None)
         LOG.warning('hold.lifted', digest=format_digest(digest))
-        self.tell_lifted(digest)
+        self.on_lifted(digest)
 
     def check_epoch(self) -> None:
         """Treat holds from earlier epochs as lost once a new epoch begins.
@@ -182,37 +187,37 @@
         if held is None:
             return
         self._held[digest] = Hold(held.row, NO_ROW)
-        self.tell_lost(digest, held.row)
+        self.on_lost(digest, held.row)
 
-    def repair_later(
-        self, digest: int, seconds: float, row: HeldRow | None
+    def schedule_repair(
+        self, digest: int, delay: float, row: HeldRow | None
     ) -> None:
         """Schedule a write or removal that corrects a restored store."""
-        at = self._clock.monotonic() + seconds
-        self._due[digest] = DueWrite(at, row, is_repair=True)
+        due_at = self._clock.monotonic() + delay
+        self._due[digest] = DueWrite(due_at, row, is_repair=True)
 
-    def write_later(
-        self, digest: int, seconds: float, row: HeldRow | None
+    def schedule_write(
+        self, digest: int, delay: float, row: HeldRow | None
     ) -> None:
-        """Write or remove a row, unless another router does so before."""
+        """Schedule a write or removal unless another router does it first."""
         if (self.get(digest) is not None) != (row is None):
             self._due.pop(digest, None)
             return
-        at = self._clock.monotonic() + seconds
-        self._due[digest] = DueWrite(at, row)
+        due_at = self._clock.monotonic() + delay
+        self._due[digest] = DueWrite(due_at, row)
 
     async def run(self, beat: Beat) -> None:
-        """Write what is due, for ever."""
+        """Run the scheduled writes until cancelled."""
         while True:
-            await beat.wait(LOOK_SECONDS)
+            await beat.wait(POLL_SECONDS)
             self.check_epoch()
             if self._due:
                 await self.write_due()
 
     async def write_due(self) -> None:
-        """Write what is due now."""
+        """Run the scheduled writes that are due."""
         now = self._clock.monotonic()
-        due = [item for item in self._due.items() if item[1].at <= now]
+        due = [item for item in self._due.items() if item[1].due_at <= now]
         await asyncio.gather(*(self._write(*item) for item in due))
 
     async def _write(self, digest: int, due: DueWrite) -> None:
@@ -223,37 +228,38 @@
             version = self._undeleted.get(digest, NO_ROW)
         try:
             await self._put(digest, due.row, version)
-            self._settle(digest, due)
+            self._finish_write(digest, due)
         except ConditionFailed:
-            # Another router was sooner; its row is on its way.
-            self._settle(digest, due)
+            # Another router has written first; the watch delivers its row.
+            self._finish_write(digest, due)
         except PlatformUnavailable as error:
             LOG.warning(
                 'hold.not_written',
                 digest=format_digest(digest),
                 reason=str(error),
             )
-            due.at = self._clock.monotonic() + due.pause
-            due.pause = min(due.pause * 2, MAX_PAUSE_SECONDS)
+            due.due_at = self._clock.monotonic() + due.backoff
+            due.backoff = min(due.backoff * 2, MAX_BACKOFF_SECONDS)
             return
         if due.row is None:
             return
-        if not due.is_repair and not self.is_wanted(digest):
-            # It was cleared while its row was being written.
-            self.write_later(digest, 0.0, None)
+        if not due.is_repair and not self.must_hold(digest):
+            # The request was cleared during the write of its row.
+            self.schedule_write(digest, 0.0, None)
         elif len(self._held) > MAX_HELD:
             await self._evict()
 
-    def _settle(self, digest: int, due: DueWrite) -> None:
+    def _finish_write(self, digest: int, due: DueWrite) -> None:
         if due.row is None:
             self._undeleted.pop(digest, None)
         if self._due.get(digest) is due:
             del self._due[digest]
 
     async def claim_trial(self, digest: int, hold: Hold) -> bool:
-        """Have a held request run once more here; return if it may.
+        """Claim a trial run of a held request; return whether it is granted.
 
-        The row's version decides between routers that ask at the same time.
+        The conditional write on the row's version grants it to only one of
+        several concurrent routers.
         """
         row = msgspec.structs.replace(hold.row, trials=hold.row.trials + 1)
         try:
@@ -267,7 +273,7 @@
     async def _put(
         self, digest: int, row: HeldRow | None, version: int
     ) -> None:
-        value = None if row is None else write_held(row)
+        value = None if row is None else encode_held_row(row)
         written = await self._store.write_row(
             RowWrite(FLEET_TABLE, build_key(digest), value, version)
         )
@@ -280,7 +286,7 @@
             self._held[digest] = Hold(row, written)
 
     async def _evict(self) -> None:
-        """Remove rows that are over, or one of the caller with most."""
+        """Remove expired rows, else one of the workspace with most holds."""
         over = [
             digest for digest in self._held if self.get(digest) is None
         ] or [self._choose_evicted()]
@@ -299,13 +305,13 @@
         )
 
 
-def _tell_nobody(digest: int, row: HeldRow) -> None:
-    """Tell nobody."""
+def _ignore(digest: int, row: HeldRow) -> None:
+    """Do nothing; the default callback."""
 
 
-def build_held(
+def build_held_row(
     clock: Clock, workspace: str, route: str, crashed: int, by: str
 ) -> HeldRow:
-    """Return the row of a request that is held from now on."""
+    """Return the row of a request whose hold starts now."""
     held_at = int(clock.now().timestamp() * MILLISECONDS)
     return HeldRow(workspace, route, crashed, held_at, by)
--- a/src/lifttrestle/internal/fleet/crashes/judgement.py
+++ b/src/lifttrestle/internal/fleet/crashes/judgement.py
@@ -10,60 +10,63 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Decides which requests run no more for what they did to upstreams.
+"""Rules by which requests that crash upstreams are held and released.
 
-The load that this answers: one request that crashes each upstream that begins
-to run it, and whose caller comes again, at any router. Three upstreams are
-away for some seconds each, with all that they had under way for others; the
-same load without this took four or all of five engines away, seven times in
-70 s.
+The rules limit the damage of a request that crashes every upstream that runs
+it and whose caller retries it at any router. It may take down three upstreams
+for some seconds each, with the requests that they run for other callers.
+Without the rules the same load took down four or all of five engines seven
+times within 70 s.
 """
 
 import collections
 from collections.abc import Iterable
 
-# Upstreams that a request may crash. Fewer would hold what merely ran beside a
-# dangerous request: its neighbours are sent on to the next upstream together
-# with it, and lose two in a row.
+# Number of upstreams that a request may crash. A lower limit would also hold
+# requests that merely ran beside a dangerous one: they are retried at the same
+# next upstream as that request and lose two upstreams in a row.
 CRASH_LIMIT = 3
-# Of a request that has ended well, crashes within this time count as one:
-# upstreams also die by themselves, in herds, and what many callers ask for is
-# under way at several of them. A herd is gone within some 0.5 s.
+# Crashes within this time count as one for a request that has succeeded
+# before: groups of upstreams also crash for other reasons, and a popular
+# request runs at several of them at once. Such a group crashes within about
+# 0.5 s.
 EPISODE_SECONDS = 1.0
-# How long a request is held. The same request is asked for again within
-# minutes or hours, by a job that is repeated each day after a day; upstreams
-# that were mended since are worth a new try.
+# Duration of a hold. The same request comes again within minutes or hours, or
+# after a day from a daily job. After that time the upstreams may have been
+# fixed, so the request may run again.
 HOLD_SECONDS = 86_400.0
-# A held request may run once more, in the whole fleet, so that one that was
-# wronged has a way back; another crash, with some 20 requests under way, is
-# the price if it was not. What many ask for costs as much after so many
-# refusals at one router; it was held for good in one of 13 seeds of a soak,
-# in which all upstreams crashed before it had ended well anywhere.
+# A held request gets one trial run in the whole fleet, so that a request that
+# was held by mistake is released. If the hold was right, the trial costs
+# another crash with about 20 requests in progress. For a popular request,
+# this many refusals at one router cost as much. Without an early trial, a
+# popular request stayed held in one of 13 seeds of a soak, in which all
+# upstreams crashed before it had succeeded anywhere.
 TRIAL_REFUSALS = 10
-# Herds and chains of crashes are over by then.
-EARLY_SECONDS = 1.0
-# What few ask for has its trial after this.
+# Minimum age of the hold for an early trial; groups and chains of crashes are
+# over by then.
+EARLY_TRIAL_SECONDS = 1.0
+# Delay of the trial of a request with fewer refusals.
 TRIAL_SECONDS = 600.0
-# After a trial that went wrong there is one more.
+# Delay of the second and last trial, after the first one has failed.
 LAST_TRIAL_SECONDS = 3600.0
 
 
-def is_dangerous(crashed_at: Iterable[float], *, ended_well: bool) -> bool:
-    """Return whether a request is to run no more.
+def is_dangerous(crashed_at: Iterable[float], *, succeeded: bool) -> bool:
+    """Return whether a request must be held.
 
-    :param crashed_at: when it was learned of each upstream that crashed under
-        it, in seconds; only those since its last good end.
-    :param ended_well: it has ended well before.
+    :param crashed_at: detection time in seconds of each crash of an upstream
+        under the request since its last success.
+    :param succeeded: whether the request has succeeded before.
     """
     times = sorted(crashed_at)
-    count = count_episodes(times) if ended_well else len(times)
+    count = count_episodes(times) if succeeded else len(times)
     return count >= CRASH_LIMIT
 
 
 def count_episodes(times: list[float]) -> int:
-    """Return how many moments there are, of those that lie close together.
+    """Return the number of episodes of crashes that are close together.
 
-    :param times: in order, in seconds.
+    :param times: times of the crashes in ascending order, in seconds.
     """
     count = 0
     begin = float('-inf')
@@ -75,29 +78,31 @@
 
 
 def may_try_again(held_seconds: float, *, refusals: int, trials: int) -> bool:
-    """Return whether a held request may run once more.
+    """Return whether a held request may have a trial run.
 
-    :param refusals: of it at this router, since it is held.
-    :param trials: that it has had, at all routers.
+    :param refusals: number of its refusals at this router during the hold.
+    :param trials: number of its trials at all routers.
     """
     if trials == 0:
-        early = refusals >= TRIAL_REFUSALS and held_seconds >= EARLY_SECONDS
+        early = (
+            refusals >= TRIAL_REFUSALS and held_seconds >= EARLY_TRIAL_SECONDS
+        )
         return early or held_seconds >= TRIAL_SECONDS
     return trials == 1 and held_seconds >= LAST_TRIAL_SECONDS
 
 
 def choose_evicted(workspaces: dict[int, str]) -> int:
-    """Return which of too many held requests is held no more.
+    """Return the digest of the held request to release.
 
-    One caller's requests make place for each other before those of any other
-    caller do.
+    It is the oldest one of the workspace with the most holds, so that one
+    workspace can't evict the holds of others.
 
-    :param workspaces: of each held request, the longest held first.
+    :param workspaces: workspace of each held request, the oldest hold first.
     """
     counts = collections.Counter(workspaces.values())
-    crowded = max(counts.values())
+    highest = max(counts.values())
     return next(
         digest
         for digest, workspace in workspaces.items()
-        if counts[workspace] == crowded
+        if counts[workspace] == highest
     )
--- a/src/lifttrestle/internal/fleet/crashes/ledger.py
+++ b/src/lifttrestle/internal/fleet/crashes/ledger.py
@@ -10,10 +10,10 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""What is known of the requests under which upstreams crashed.
+"""Records of the requests under which upstreams crashed.
 
-All of it can be merged in any order and any number of times: routers tell each
-other what they know by messages that may be lost, repeated and overtaken.
+Merging records is commutative and idempotent, because the messages by which
+routers exchange them may be lost, duplicated or reordered.
 """
 
 import collections
@@ -24,70 +24,71 @@
 from lifttrestle.internal.fleet.crashes.judgement import is_dangerous
 from lifttrestle.internal.fleet.crashes.messages import CrashItem
 
-# Requests that are remembered. A crashed engine had some 20 requests under
-# way; 4,096 are those of 200 crashes, at some 500 bytes each.
+# Maximum number of records, about 500 bytes each. A crashed engine runs about
+# 20 requests, so 4,096 records cover 200 crashes.
 MAX_RECORDS = 4096
-# Starts that are remembered of one request, crashed or forgiven.
+# Maximum number of crashed and of retracted starts in one record.
 MAX_STARTS = 64
-# Requests whose good end is remembered, at some 100 bytes each: those of the
-# last minute or more at the 50 a second that one router serves.
-MAX_GOOD = 4096
+# Maximum number of remembered successes, about 100 bytes each: those of at
+# least the last minute at the 50 requests per second that one router serves.
+MAX_SUCCEEDED = 4096
 
 
 @dataclasses.dataclass
 class CrashRecord:
-    """What is known of one request.
+    """Crashes and successes of one request.
 
-    :ivar crashed: when it was learned of each start that crashed under it.
-    :ivar forgiven: starts that don't count any more.
-    :ivar ended_well: it has ended well somewhere, at some time.
+    :ivar crashed: detection time of each crash, monotonic seconds by digest
+        of the start that crashed.
+    :ivar retracted: digests of starts whose crashes no longer count.
+    :ivar succeeded: whether the request has ever succeeded at any router.
     """
 
     crashed: dict[int, float] = dataclasses.field(default_factory=dict)
-    forgiven: set[int] = dataclasses.field(default_factory=set)
-    ended_well: bool = False
+    retracted: set[int] = dataclasses.field(default_factory=set)
+    succeeded: bool = False
 
 
 class CrashLedger:
-    """Keeps a record of each request, and forgets the oldest."""
+    """Bounded collection of crash records that evicts the oldest."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._records: collections.OrderedDict[int, CrashRecord] = (
             collections.OrderedDict()
         )
-        # Without values, in the order of the last good end.
-        self._good: collections.OrderedDict[int, None] = (
+        # An ordered set, in the order of the last success.
+        self._succeeded: collections.OrderedDict[int, None] = (
             collections.OrderedDict()
         )
 
     def note_crashes(self, digest: int, starts: list[int]) -> bool:
-        """Note that starts crashed under a request; return if it is news."""
+        """Record crashes under a request; return whether any is new."""
         record = self._get_record(digest)
         new = [
             start
             for start in starts
-            if start not in record.crashed and start not in record.forgiven
+            if start not in record.crashed and start not in record.retracted
         ]
         for start in new[: MAX_STARTS - len(record.crashed)]:
             record.crashed[start] = self._clock.monotonic()
         return bool(new)
 
     def note_success(self, digest: int) -> bool:
-        """Note a good end; return whether that clears the request."""
-        self._good[digest] = None
-        self._good.move_to_end(digest)
-        if len(self._good) > MAX_GOOD:
-            self._good.popitem(last=False)
+        """Record a success; return whether it clears earlier crashes."""
+        self._succeeded[digest] = None
+        self._succeeded.move_to_end(digest)
+        if len(self._succeeded) > MAX_SUCCEEDED:
+            self._succeeded.popitem(last=False)
         record = self._records.get(digest)
         if record is None or not record.crashed:
             return False
-        record.ended_well = True
-        self.forgive(digest, list(record.crashed))
+        record.succeeded = True
+        self.retract(digest, list(record.crashed))
         return True
 
-    def forgive(self, digest: int, starts: list[int]) -> bool:
-        """Count starts no more; return whether one of them did count."""
+    def retract(self, digest: int, starts: list[int]) -> bool:
+        """Retract crashes of starts; return whether one of them counted."""
         record = self._records.get(digest)
         if record is None:
             return False
@@ -96,27 +97,27 @@
             for start in starts
             if record.crashed.pop(start, None) is not None
         ]
-        if len(record.forgiven) + len(starts) <= MAX_STARTS:
-            record.forgiven.update(starts)
+        if len(record.retracted) + len(starts) <= MAX_STARTS:
+            record.retracted.update(starts)
         return bool(counted)
 
     def merge(self, item: CrashItem) -> bool:
-        """Take in what another router knows; return if it should know more.
+        """Merge the record of another router; return whether to reply.
 
-        It should if this router has seen the request end well, and that one
-        does not know that it ever did.
+        A reply is due if this router knows of a success of the request and
+        the other router does not.
         """
         self.note_crashes(item.digest, item.crashed)
-        self.forgive(item.digest, item.forgiven)
+        self.retract(item.digest, item.retracted)
         record = self._records[item.digest]
-        record.ended_well = record.ended_well or item.ended_well
-        return record.ended_well and not item.ended_well
+        record.succeeded = record.succeeded or item.succeeded
+        return record.succeeded and not item.succeeded
 
-    def is_dangerous(self, digest: int, unproved: int = 0) -> bool:
-        """Return whether a request is to run no more.
+    def is_dangerous(self, digest: int, unconfirmed: int = 0) -> bool:
+        """Return whether a request must be held.
 
-        :param unproved: further upstreams that it has just lost, of which
-            nobody knows yet whether they crashed.
+        :param unconfirmed: number of further upstreams that the request has
+            just lost and that are not yet known to have crashed.
         """
         record = self._records.get(digest)
         if record is None:
@@ -127,34 +128,34 @@
             for crashed_at in record.crashed.values()
             if now - crashed_at < HOLD_SECONDS
         ]
-        recent += [now] * unproved
-        return is_dangerous(recent, ended_well=record.ended_well)
+        recent += [now] * unconfirmed
+        return is_dangerous(recent, succeeded=record.succeeded)
 
     def count_crashed(self, digest: int) -> int:
-        """Return how many starts count against a request."""
+        """Return the number of crashes that count against a request."""
         record = self._records.get(digest)
         return len(record.crashed) if record is not None else 0
 
     def build_item(self, digest: int) -> CrashItem:
-        """Return all that is known of a request."""
+        """Return the record of a request as an item of a message."""
         record = self._records.get(digest, CrashRecord())
         return CrashItem(
             digest,
             list(record.crashed),
-            list(record.forgiven),
-            record.ended_well,
+            list(record.retracted),
+            record.succeeded,
         )
 
     def clear(self, digest: int) -> None:
-        """Count nothing of what is known of a request any more."""
+        """Retract all crashes of a request."""
         record = self._records.get(digest)
         if record is not None:
-            self.forgive(digest, list(record.crashed))
+            self.retract(digest, list(record.crashed))
 
     def _get_record(self, digest: int) -> CrashRecord:
         record = self._records.get(digest)
         if record is None:
-            record = CrashRecord(ended_well=digest in self._good)
+            record = CrashRecord(succeeded=digest in self._succeeded)
             self._records[digest] = record
             if len(self._records) > MAX_RECORDS:
                 self._records.popitem(last=False)
--- a/src/lifttrestle/internal/fleet/crashes/loss_watch.py
+++ b/src/lifttrestle/internal/fleet/crashes/loss_watch.py
@@ -10,12 +10,12 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Finds out whether an upstream that broke off an answer has crashed.
+"""Detects whether an upstream that aborted an answer has crashed.
 
-A connection also ends by a reset, a cut link or a fault of one answer. The
-upstream has crashed if it was neither leaving nor listed as gone by then, and
-this start of it is gone: nothing listens at its address, its entry ends, or a
-newer start has its name or its address.
+A connection also ends because of a reset, a cut link or the failure of a
+single answer. The upstream has crashed if it was neither draining nor removed
+at that time and this start of it has ended: nothing listens at its address,
+its entry is removed, or a newer start has its name or address.
 """
 
 from collections.abc import Callable
@@ -28,53 +28,57 @@
 from lifttrestle.internal.telemetry.event_log import get_event_log
 
 LOG = get_event_log('crashes')
-# Entries of crashed upstreams end after three heartbeats, and routers learn of
-# it up to some seconds later.
+# The entry of a crashed upstream expires after three heartbeats, and routers
+# observe this up to a few seconds later.
 ENTRY_HEARTBEATS = 3
 ENTRY_MARGIN_SECONDS = 4.0
-# A port that refuses connections so much later has been closed by something
-# else than what ended the connection.
+# If the port refuses connections only after this time, its closing has
+# another cause than the end of the connection.
 REFUSED_SECONDS = 2.0
-# Starts that are looked at; a large deployment has 600 upstreams.
+# Maximum number of watched starts; a large deployment has 600 upstreams.
 MAX_STARTS = 256
-# Requests under way at one upstream for one router, and more.
-MAX_LOST = 256
+# Maximum number of lost requests per start, more than one router has in
+# progress at one upstream.
+MAX_REQUESTS = 256
 
 
 class StartEvidence(enum.Enum):
-    """What is learned of a start that broke off an answer."""
+    """Evidence on whether a start that aborted an answer has crashed."""
 
     # Its address refused a connection.
     REFUSED = enum.auto()
-    # Its address took a connection: it lives, or another start is there.
+    # Its address accepted a connection: the start is alive, or a newer start
+    # has its address.
     ACCEPTED = enum.auto()
-    # It answered a request that was sent after it had broken one off.
+    # It answered a request that was sent after the aborted answer.
     ANSWERED = enum.auto()
-    # A newer start has its name or its address.
+    # A newer start has its name or address.
     REPLACED = enum.auto()
-    # Its entry ended without a word.
+    # Its entry was removed without notice.
     VANISHED = enum.auto()
-    # It said that it leaves, or its entry can't be read any more.
+    # It had announced that it stops, or its entry is no longer readable.
     WITHDRAWN = enum.auto()
-    # Its entry should have ended by now and has not.
+    # Its entry still exists after the time by which that of a crashed start
+    # would have expired.
     STILL_LISTED = enum.auto()
 
 
 class LossState(enum.Enum):
-    """What is believed of a start that broke off an answer."""
+    """State of the crash detection for a start that aborted an answer."""
 
     OPEN = enum.auto()
-    # It takes connections; only a newer start proves a crash now.
+    # It accepts connections, so only a refused connection or a newer start
+    # would still prove a crash.
     REACHED = enum.auto()
-    # Nothing listens at its address.
+    # Nothing listens at its address; later evidence may refute the crash.
     CRASHED = enum.auto()
-    # It will not be back.
+    # It has crashed for certain: its entry is gone or a newer start exists.
     PROVED = enum.auto()
     # It has not crashed.
     SOUND = enum.auto()
 
 
-SIGNS = {
+END_EVIDENCE = {
     StartEnd.REPLACED: StartEvidence.REPLACED,
     StartEnd.VANISHED: StartEvidence.VANISHED,
     StartEnd.WITHDRAWN: StartEvidence.WITHDRAWN,
@@ -88,14 +92,14 @@
     (LossState.OPEN, StartEvidence.VANISHED): LossState.PROVED,
     (LossState.OPEN, StartEvidence.WITHDRAWN): LossState.SOUND,
     (LossState.OPEN, StartEvidence.STILL_LISTED): LossState.SOUND,
-    # The listener may close a moment after the connections.
+    # The listener may close shortly after the connections.
     (LossState.REACHED, StartEvidence.REFUSED): LossState.CRASHED,
     (LossState.REACHED, StartEvidence.ANSWERED): LossState.SOUND,
     (LossState.REACHED, StartEvidence.REPLACED): LossState.PROVED,
     (LossState.REACHED, StartEvidence.VANISHED): LossState.SOUND,
     (LossState.REACHED, StartEvidence.WITHDRAWN): LossState.SOUND,
     (LossState.REACHED, StartEvidence.STILL_LISTED): LossState.SOUND,
-    # A cut link may refuse connections, too.
+    # A cut link may also lead to refused connections, without a crash.
     (LossState.CRASHED, StartEvidence.ANSWERED): LossState.SOUND,
     (LossState.CRASHED, StartEvidence.REPLACED): LossState.PROVED,
     (LossState.CRASHED, StartEvidence.VANISHED): LossState.PROVED,
@@ -106,10 +110,10 @@
 
 @dataclasses.dataclass
 class Loss:
-    """A start that broke off answers.
+    """A start that aborted answers.
 
-    :ivar lost_at: when it did so first.
-    :ivar digests: of the requests that it had under way for this router.
+    :ivar lost_at: time of the first aborted answer, monotonic seconds.
+    :ivar digests: digests of the requests of this router that were lost.
     """
 
     upstream: FleetUpstream
@@ -119,12 +123,13 @@
 
 
 class LossWatch:
-    """Judges each start that broke off answers by the signs that follow.
+    """Detects crashes of starts that aborted answers by later evidence.
 
-    :param heartbeat_seconds: between two signs of life of an upstream.
-    :ivar tell_crashed: is called with a request's digest and that of a start
+    :param heartbeat_seconds: period of the heartbeats of an upstream.
+    :ivar on_crashed: called with the digests of a request and of the start
         that has crashed under it.
-    :ivar tell_sound: likewise, for one that was taken for crashed.
+    :ivar on_crash_retracted: called with the same digests if the start turns
+        out not to have crashed.
     :ivar is_list_current: returns whether the list of upstreams is current.
     """
 
@@ -134,12 +139,12 @@
             ENTRY_HEARTBEATS * heartbeat_seconds + ENTRY_MARGIN_SECONDS
         )
         self._losses: dict[str, Loss] = {}
-        self.tell_crashed: Callable[[int, int], None] = _tell_nobody
-        self.tell_sound: Callable[[int, int], None] = _tell_nobody
+        self.on_crashed: Callable[[int, int], None] = _ignore
+        self.on_crash_retracted: Callable[[int, int], None] = _ignore
         self.is_list_current: Callable[[], bool] = lambda: True
 
     def note_lost(self, digest: int, upstream: FleetUpstream) -> None:
-        """Note that an upstream broke off its answer to a request."""
+        """Record that an upstream aborted its answer to a request."""
         if upstream.entry.draining or upstream.vanished_at is not None:
             return
         loss = self._losses.get(upstream.start)
@@ -148,70 +153,70 @@
                 del self._losses[next(iter(self._losses))]
             loss = Loss(upstream, self._clock.monotonic())
             self._losses[upstream.start] = loss
-        if digest in loss.digests or len(loss.digests) >= MAX_LOST:
+        if digest in loss.digests or len(loss.digests) >= MAX_REQUESTS:
             return
         loss.digests.add(digest)
-        # Have it probed soon.
+        # Schedules a probe of the upstream.
         upstream.reach.note_lost()
         if loss.state in CRASHED_STATES:
-            self.tell_crashed(digest, upstream.digest)
+            self.on_crashed(digest, upstream.digest)
 
     def note_answered(self, upstream: FleetUpstream, sent_at: float) -> None:
-        """Note an answer to what was sent at sent_at."""
+        """Record an answer to a request that was sent at ``sent_at``."""
         loss = self._losses.get(upstream.start)
         if loss is not None and sent_at > loss.lost_at:
             self.note_evidence(upstream.start, StartEvidence.ANSWERED)
 
-    def note_evidence(self, start: str, sign: StartEvidence) -> None:
-        """Judge a start by something that was learned of it."""
+    def note_evidence(self, start: str, evidence: StartEvidence) -> None:
+        """Update the state of a start by new evidence."""
         loss = self._losses.get(start)
         if loss is None:
             return
         late = self._clock.monotonic() - loss.lost_at > REFUSED_SECONDS
-        if sign is StartEvidence.REFUSED and late:
+        if evidence is StartEvidence.REFUSED and late:
             return
         before = loss.state
-        loss.state = TRANSITIONS.get((before, sign), before)
+        loss.state = TRANSITIONS.get((before, evidence), before)
         if loss.state is before:
             return
         LOG.info(
             'upstream.loss_judged',
             instance=loss.upstream.instance,
             start=start,
-            sign=sign.name.lower(),
+            sign=evidence.name.lower(),
             state=loss.state.name.lower(),
             requests=len(loss.digests),
         )
         if loss.state in CRASHED_STATES and before not in CRASHED_STATES:
             for digest in sorted(loss.digests):
-                self.tell_crashed(digest, loss.upstream.digest)
+                self.on_crashed(digest, loss.upstream.digest)
         if loss.state is LossState.SOUND:
             del self._losses[start]
             if before is LossState.CRASHED:
                 for digest in sorted(loss.digests):
-                    self.tell_sound(digest, loss.upstream.digest)
+                    self.on_crash_retracted(digest, loss.upstream.digest)
 
     def note_probed(self, start: str, taken: bool, refused: bool) -> None:
-        """Note whether a probe of a start's address was taken."""
+        """Record whether the address of a start accepted a connection."""
         if taken:
             self.note_evidence(start, StartEvidence.ACCEPTED)
         elif refused:
             self.note_evidence(start, StartEvidence.REFUSED)
 
     def note_ended(self, upstream: FleetUpstream, end: StartEnd) -> None:
-        """Note that a start is listed no more."""
-        self.note_evidence(upstream.start, SIGNS[end])
+        """Record that a start is no longer listed."""
+        self.note_evidence(upstream.start, END_EVIDENCE[end])
 
     def count_open(self, digest: int) -> int:
-        """Return how many starts a request lost that may have crashed."""
+        """Return how many starts lost by a request are undecided."""
         return sum(
             digest in loss.digests
             for loss in self._losses.values()
             if loss.state is LossState.OPEN
         )
 
-    def look(self, is_listed: Callable[[str], bool]) -> None:
-        """Judge those whose entries should have ended by now."""
+    def sweep(self, is_listed: Callable[[str], bool]) -> None:
+        """Decide on starts whose entries should have expired by now."""
         if not self._losses or not self.is_list_current():
             return
         latest = self._clock.monotonic() - self._entry_seconds
@@ -226,5 +231,5 @@
             self._losses.pop(start, None)
 
 
-def _tell_nobody(digest: int, start: int) -> None:
-    """Tell nobody."""
+def _ignore(digest: int, start: int) -> None:
+    """Do nothing; the default callback."""
--- a/src/lifttrestle/internal/fleet/crashes/messages.py
+++ b/src/lifttrestle/internal/fleet/crashes/messages.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""What routers tell each other of requests that upstreams crashed under."""
+"""Messages between routers on requests under which upstreams crashed."""
 
 from typing import Annotated
 
@@ -20,23 +20,23 @@
 
 
 class CrashItem(msgspec.Struct, frozen=True, array_like=True):
-    """All that one router knows of one request.
+    """The record that one router has of one request.
 
-    :ivar digest: of the request.
-    :ivar crashed: digests of the starts that crashed under it.
-    :ivar forgiven: of those that don't count any more: it has ended well
-        since, or they had not crashed.
-    :ivar ended_well: it has ended well somewhere, at some time.
+    :ivar digest: digest of the request.
+    :ivar crashed: digests of the starts that crashed under the request.
+    :ivar retracted: digests of the starts that no longer count, because the
+        request has succeeded since or because they had not crashed.
+    :ivar succeeded: whether the request has ever succeeded at any router.
     """
 
     digest: Number
     crashed: list[Number]
-    forgiven: list[Number] = []
-    ended_well: bool = False
+    retracted: list[Number] = []
+    succeeded: bool = False
 
 
 class CrashUpdate(msgspec.Struct, frozen=True, array_like=True, tag=4):
-    """What is new; the same may be told again, and in any order."""
+    """Changed records; may arrive repeatedly and in any order."""
 
     vm: str
     items: list[CrashItem]
--- a/src/lifttrestle/internal/fleet/crashes/replicator.py
+++ b/src/lifttrestle/internal/fleet/crashes/replicator.py
@@ -10,11 +10,12 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Tells other routers what upstreams did under requests.
+"""Replicates crash records between routers.
 
-What is not yet known to be dangerous is told to a few routers that the digest
-of the request chooses, so that what several routers saw is counted together
-somewhere; what is, and what is none any more, is told to all.
+The record of a request that is not yet known to be dangerous is sent to a few
+routers, its owners, which rendezvous hashing of the digest selects, so that
+the crashes that different routers saw are counted together. The record of a
+dangerous request, or of one that no longer is, is sent to all routers.
 """
 
 import asyncio
@@ -27,26 +28,26 @@
 from lifttrestle.internal.fleet.state.roster import ROUTER_PREFIX
 from lifttrestle.internal.routing.rendezvous import rank_names
 
-# Routers that count a request's crashes together. With 195 routers before 59
-# engines of 24 slots, half of which crash, 5 are told 975 messages where all
-# would be told 37,800.
-COUNTERS = 5
-# The same is told so often, with this pause between: 3 in 100 datagrams are
-# lost on a bad link, and 27 in a million of such threes.
-TELLS = 3
-TELL_SECONDS = 0.4
-# Items of one message: some 40 bytes each, of at most 8 KiB.
+# Number of routers that count the crashes of a request together. With 195
+# routers in front of 59 engines with 24 slots, half of which crash, 5 owners
+# receive 975 messages; sending to all routers would take 37,800.
+OWNER_COUNT = 5
+# Number of transmissions of each update, and the pause between them. A bad
+# link loses 3 in 100 datagrams, so 27 in a million updates are lost.
+SEND_COUNT = 3
+RESEND_SECONDS = 0.4
+# Maximum number of items in a message of at most 8 KiB, about 40 bytes each.
 MAX_ITEMS = 60
-# Requests that wait to be told of.
-MAX_WAITING = 2048
+# Maximum number of requests with pending updates.
+MAX_PENDING = 2048
 DIGEST_BYTES = 8
 Send = Callable[[CrashUpdate, str], None]
 
 
 class CrashReplicator:
-    """Tells what is new, and tells it again.
+    """Sends updates of crash records to other routers repeatedly.
 
-    :ivar send: sends a message to the router with a key.
+    :ivar send: sends a message to the router whose table row has the key.
     """
 
     def __init__(
@@ -56,73 +57,71 @@
         self._ledger = ledger
         self._roster = roster
         self._clock = clock
-        self._waiting: dict[int, int] = {}
-        self._new = asyncio.Event()
-        self.send: Send = lambda news, key: None
-
-    def is_counter(self, digest: int) -> bool:
-        """Return whether this router is one of those that count a request."""
-        return self._roster.key in choose_counters(
-            digest, self._roster.routers
-        )
-
-    def tell(self, digest: int) -> None:
-        """Tell of a request soon, as it is then."""
-        if digest in self._waiting or len(self._waiting) < MAX_WAITING:
-            self._waiting[digest] = TELLS
-            self._new.set()
+        self._pending: dict[int, int] = {}
+        self._queued = asyncio.Event()
+        self.send: Send = lambda update, key: None
+
+    def is_owner(self, digest: int) -> bool:
+        """Return whether this router is an owner of a request."""
+        return self._roster.key in choose_owners(digest, self._roster.routers)
+
+    def queue_update(self, digest: int) -> None:
+        """Queue an update on a request; it has the state at sending time."""
+        if digest in self._pending or len(self._pending) < MAX_PENDING:
+            self._pending[digest] = SEND_COUNT
+            self._queued.set()
 
     def reply(self, vm: str, digests: list[int]) -> None:
-        """Tell one router of requests that it should know more of."""
+        """Send the records of requests to one router."""
         items = [self._ledger.build_item(digest) for digest in digests]
         self.send(CrashUpdate(self._vm, items), f'{ROUTER_PREFIX}{vm}')
 
     async def run(self) -> None:
-        """Tell what is new, for ever."""
+        """Send queued updates until cancelled."""
         while True:
-            await self._new.wait()
-            # What else is lost with the same upstream is told together.
+            await self._queued.wait()
+            # Batches the other requests that the same upstream has lost.
             await asyncio.sleep(0)
-            self._new.clear()
-            self.tell_waiting()
-            if not self._waiting:
+            self._queued.clear()
+            self.send_pending()
+            if not self._pending:
                 continue
             try:
-                async with asyncio.timeout(TELL_SECONDS):
-                    await self._new.wait()
+                async with asyncio.timeout(RESEND_SECONDS):
+                    await self._queued.wait()
             except TimeoutError:
-                self._new.set()
-
-    def tell_waiting(self) -> None:
-        """Tell of each request that waits, once."""
-        told: dict[str, list[int]] = {}
-        for digest in self._waiting:
-            for key in self._list_hearers(digest):
-                told.setdefault(key, []).append(digest)
-        for key, digests in told.items():
+                self._queued.set()
+
+    def send_pending(self) -> None:
+        """Send the update of each pending request once."""
+        by_receiver: dict[str, list[int]] = {}
+        for digest in self._pending:
+            for key in self._list_receivers(digest):
+                by_receiver.setdefault(key, []).append(digest)
+        for key, digests in by_receiver.items():
             for first in range(0, len(digests), MAX_ITEMS):
                 part = digests[first : first + MAX_ITEMS]
                 items = [self._ledger.build_item(digest) for digest in part]
                 self.send(CrashUpdate(self._vm, items), key)
-        self._waiting = {
-            digest: left - 1
-            for digest, left in self._waiting.items()
-            if left > 1
+        self._pending = {
+            digest: remaining - 1
+            for digest, remaining in self._pending.items()
+            if remaining > 1
         }
 
-    def _list_hearers(self, digest: int) -> list[str]:
+    def _list_receivers(self, digest: int) -> list[str]:
         others = self._roster.list_others()
         item = self._ledger.build_item(digest)
-        if item.forgiven or item.ended_well:
+        if item.retracted or item.succeeded:
             return others
         if self._ledger.is_dangerous(digest):
             return others
-        return choose_counters(digest, others)
+        return choose_owners(digest, others)
 
 
-def choose_counters(digest: int, routers: list[str]) -> list[str]:
-    """Return the routers that count a request's crashes together."""
-    if len(routers) <= COUNTERS:
+def choose_owners(digest: int, routers: list[str]) -> list[str]:
+    """Return the routers that count the crashes of a request."""
+    if len(routers) <= OWNER_COUNT:
         return routers
-    number = digest.to_bytes(DIGEST_BYTES, 'big')
-    return rank_names(number, routers)[:COUNTERS]
+    key_bytes = digest.to_bytes(DIGEST_BYTES, 'big')
+    return rank_names(key_bytes, routers)[:OWNER_COUNT]
--- a/src/lifttrestle/internal/fleet/crashes/tracker.py
+++ b/src/lifttrestle/internal/fleet/crashes/tracker.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""What a router asks, and tells, of requests that crash upstreams."""
+"""Tracks and holds requests that crash upstreams."""
 
 import asyncio
 import dataclasses
@@ -19,7 +19,7 @@
 from lifttrestle.internal.clock.clock import Clock
 from lifttrestle.internal.fleet.crashes.held_row import format_digest
 from lifttrestle.internal.fleet.crashes.held_row import HeldRow
-from lifttrestle.internal.fleet.crashes.holds import build_held
+from lifttrestle.internal.fleet.crashes.holds import build_held_row
 from lifttrestle.internal.fleet.crashes.holds import HoldRows
 from lifttrestle.internal.fleet.crashes.holds import MAX_HELD
 from lifttrestle.internal.fleet.crashes.judgement import CRASH_LIMIT
@@ -37,19 +37,20 @@
 from lifttrestle.internal.telemetry.event_log import get_event_log
 
 LOG = get_event_log('crashes')
-LOOK_SECONDS = 0.5
-# A row is written so much later than the request was found dangerous: another
-# router that has seen it end well says so within some ms.
-OBJECTION_SECONDS = 0.2
-# Routers that counted the crashes write it if those that saw them don't.
-HEARER_SECONDS = 1.0
-# Origins that are remembered, of requests that lost an upstream lately.
+POLL_SECONDS = 0.5
+# Delay between the detection of a dangerous request and the write of its row.
+# A router that has seen the request succeed replies within some milliseconds.
+WRITE_DELAY_SECONDS = 0.2
+# Delay after which the owners of the request write the row if the routers
+# that saw the crashes have not.
+OWNER_DELAY_SECONDS = 1.0
+# Maximum number of remembered origins of requests that lost an upstream.
 MAX_ORIGINS = 1024
 
 
 @dataclasses.dataclass(frozen=True)
 class RequestOrigin:
-    """Whose request it is, and by which route it came."""
+    """Workspace and route of a request."""
 
     workspace: str
     route: str
@@ -59,11 +60,11 @@
 
 
 class CrashTracker:
-    """Knows which requests must not run, and learns it from what is lost.
+    """Decides which requests must not run, from the crashes under them.
 
-    :ivar losses: judges whether upstreams that broke off have crashed.
-    :ivar replicator: tells other routers.
-    :ivar holds: the rows that outlive all routers.
+    :ivar losses: detects whether upstreams that aborted answers have crashed.
+    :ivar replicator: sends crash records to other routers.
+    :ivar holds: persistent rows of held requests.
     """
 
     def __init__(
@@ -83,50 +84,50 @@
         self._origins: dict[int, RequestOrigin] = {}
         self._refusals: dict[int, int] = {}
         self.holds = HoldRows(store, clock, refusals or InputRefusals())
-        self.holds.tell_lifted = self._forget
-        self.holds.is_wanted = self._ledger.is_dangerous
-        self.holds.tell_lost = self._rewrite_lost
-        self.holds.tell_undeleted = self._remove_undeleted
+        self.holds.on_lifted = self._handle_lifted
+        self.holds.must_hold = self._ledger.is_dangerous
+        self.holds.on_lost = self._rewrite_lost
+        self.holds.on_undeleted = self._remove_undeleted
         self.replicator = CrashReplicator(vm, self._ledger, roster, clock)
         self.losses = LossWatch(clock, heartbeat_seconds)
-        self.losses.tell_crashed = self._note_crashed
-        self.losses.tell_sound = self._note_sound
+        self.losses.on_crashed = self._note_crashed
+        self.losses.on_crash_retracted = self._retract_crash
 
     async def run(self, beat: Beat) -> None:
-        """Tell, write and look again, for ever."""
+        """Run replication, row writes and the sweep until cancelled."""
         await asyncio.gather(
             self.replicator.run(),
             self.holds.run(beat),
-            self._run_looking(beat),
+            self._run_sweep(beat),
         )
 
-    async def _run_looking(self, beat: Beat) -> None:
+    async def _run_sweep(self, beat: Beat) -> None:
         while True:
-            await beat.wait(LOOK_SECONDS)
-            self.losses.look(self._is_listed)
+            await beat.wait(POLL_SECONDS)
+            self.losses.sweep(self._is_listed)
 
     def _is_listed(self, start: str) -> bool:
         return self._directory.get_start(start) is not None
 
     def is_held(self, digest: int) -> bool:
-        """Return whether a request must not run."""
+        """Return whether a request is held."""
         return self.holds.get(digest) is not None or self._ledger.is_dangerous(
             digest
         )
 
     def must_not_retry(self, digest: int) -> bool:
-        """Return whether a request that was just lost is not to go on.
+        """Return whether a request that was just lost must not be retried.
 
-        What it has lost counts at once: to find out whether an upstream has
-        crashed takes 0.1 s, and to crash the next one does not.
+        Lost upstreams count at once, although undecided: the detection of a
+        crash takes 0.1 s, and the request may crash the next upstream sooner.
         """
-        unproved = self.losses.count_open(digest)
+        unconfirmed = self.losses.count_open(digest)
         return self.holds.get(digest) is not None or self._ledger.is_dangerous(
-            digest, unproved
+            digest, unconfirmed
         )
 
     def may_try(self, digest: int) -> bool:
-        """Return whether a held request may run once more."""
+        """Return whether a held request may have a trial run."""
         hold = self.holds.get(digest)
         return hold is not None and may_try_again(
             self.holds.get_age(hold),
@@ -135,12 +136,12 @@
         )
 
     def note_refused(self, digest: int) -> None:
-        """Count a refusal of a held request."""
+        """Record a refusal of a held request."""
         if digest in self._refusals or len(self._refusals) < MAX_HELD:
             self._refusals[digest] = self._refusals.get(digest, 0) + 1
 
     async def claim_trial(self, digest: int) -> bool:
-        """Return whether a held request may run once more, here and now."""
+        """Claim a trial run of a held request; return whether granted."""
         hold = self.holds.get(digest)
         if hold is None or not self.may_try(digest):
             return False
@@ -149,48 +150,54 @@
     def note_lost(
         self, digest: int, origin: RequestOrigin, upstream: FleetUpstream
     ) -> None:
-        """Note that an upstream broke off its answer to a request."""
+        """Record that an upstream aborted its answer to a request."""
         if len(self._origins) >= MAX_ORIGINS:
             del self._origins[next(iter(self._origins))]
         self._origins[digest] = origin
         self.losses.note_lost(digest, upstream)
 
     def note_success(self, digest: int) -> None:
-        """Note that an upstream served a request.
+        """Record that an upstream served a request.
 
-        A failure or rejection of its own is no good end: an upstream may
-        answer so before it begins to run a request.
+        An error or rejection by the upstream is no success: it may be
+        answered before the upstream begins to run the request.
         """
         cleared = self._ledger.note_success(digest)
         held = self.holds.get(digest) is not None
         if cleared:
             LOG.info('hold.cleared', digest=format_digest(digest))
-            self.replicator.tell(digest)
+            self.replicator.queue_update(digest)
         if held:
-            self.holds.write_later(digest, 0.0, None)
+            self.holds.schedule_write(digest, 0.0, None)
 
     def apply_row(self, row: VersionedRow) -> None:
-        """Take in a changed row of the routers' table."""
-        self.holds.take(row)
+        """Apply a changed row of the routers' table."""
+        self.holds.apply_row(row)
 
-    def handle_update(self, news: CrashUpdate) -> None:
-        """Take in what another router has told."""
+    def handle_update(self, update: CrashUpdate) -> None:
+        """Merge the records that another router has sent."""
         replies = []
-        for item in news.items:
-            before = self._ledger.is_dangerous(item.digest)
+        for item in update.items:
+            was_dangerous = self._ledger.is_dangerous(item.digest)
             if self._ledger.merge(item):
                 replies.append(item.digest)
-            # One that was counted together here is news to all others, and
-            # so is one that was cleared after this router had told of it.
+            # The result is new to all others if this router has added up the
+            # crashes, or if the request was cleared after this router had
+            # reported it.
             counted_here = len(item.crashed) < CRASH_LIMIT
-            told_here = item.digest in self._origins
-            tell = told_here if before else counted_here
-            self._judge(item.digest, before, HEARER_SECONDS, tell=tell)
+            replicated_here = item.digest in self._origins
+            replicate = replicated_here if was_dangerous else counted_here
+            self._update_hold(
+                item.digest,
+                was_dangerous,
+                OWNER_DELAY_SECONDS,
+                replicate=replicate,
+            )
         if replies:
-            self.replicator.reply(news.vm, replies)
+            self.replicator.reply(update.vm, replies)
 
     def _note_crashed(self, digest: int, start: int) -> None:
-        before = self._ledger.is_dangerous(digest)
+        was_dangerous = self._ledger.is_dangerous(digest)
         if not self._ledger.note_crashes(digest, [start]):
             return
         LOG.info(
@@ -198,29 +205,36 @@
             digest=format_digest(digest),
             crashed=self._ledger.count_crashed(digest),
         )
-        self.replicator.tell(digest)
-        self._judge(digest, before, OBJECTION_SECONDS, tell=True)
+        self.replicator.queue_update(digest)
+        self._update_hold(
+            digest, was_dangerous, WRITE_DELAY_SECONDS, replicate=True
+        )
 
-    def _note_sound(self, digest: int, start: int) -> None:
-        """Take back what was believed of an upstream."""
-        if self._ledger.forgive(digest, [start]):
-            self.replicator.tell(digest)
+    def _retract_crash(self, digest: int, start: int) -> None:
+        """Retract a crash that the upstream turned out not to have had."""
+        if self._ledger.retract(digest, [start]):
+            self.replicator.queue_update(digest)
 
-    def _judge(
-        self, digest: int, before: bool, seconds: float, *, tell: bool
+    def _update_hold(
+        self,
+        digest: int,
+        was_dangerous: bool,
+        delay: float,
+        *,
+        replicate: bool,
     ) -> None:
-        """Act on a request that has turned dangerous, or is none any more."""
+        """Begin or end a hold when the danger of a request has changed."""
         dangerous = self._ledger.is_dangerous(digest)
-        if before == dangerous:
+        if was_dangerous == dangerous:
             return
-        if tell:
-            self.replicator.tell(digest)
+        if replicate:
+            self.replicator.queue_update(digest)
         seen_here = digest in self._origins
-        writes = seen_here or self.replicator.is_counter(digest)
+        writes = seen_here or self.replicator.is_owner(digest)
         if not dangerous:
-            # Nothing is written of it, or what was written goes.
+            # Cancels a scheduled write, or removes the written row.
             if writes:
-                self.holds.write_later(digest, 0.0, None)
+                self.holds.schedule_write(digest, 0.0, None)
             return
         origin = self._origins.get(digest, UNKNOWN_ORIGIN)
         crashed = self._ledger.count_crashed(digest)
@@ -232,30 +246,31 @@
             route=origin.route,
         )
         if not writes:
-            # Others do; a whole fleet would ask a store that is away.
+            # Other routers write the row. If all did, the whole fleet would
+            # retry its writes at an unavailable store.
             return
-        row = build_held(
+        row = build_held_row(
             self._clock, origin.workspace, origin.route, crashed, self._vm
         )
-        self.holds.write_later(digest, seconds, row)
+        self.holds.schedule_write(digest, delay, row)
 
     def _rewrite_lost(self, digest: int, row: HeldRow) -> None:
         """Schedule a new write of a lost row.
 
-        The router that wrote the row writes it at once; those that count the
+        The router that wrote the row writes it at once; the owners of the
         request write it later, in case that router is gone.
         """
         if row.by == self._vm:
-            self.holds.repair_later(digest, 0.0, row)
-        elif self.replicator.is_counter(digest):
-            self.holds.repair_later(digest, HEARER_SECONDS, row)
+            self.holds.schedule_repair(digest, 0.0, row)
+        elif self.replicator.is_owner(digest):
+            self.holds.schedule_repair(digest, OWNER_DELAY_SECONDS, row)
 
     def _remove_undeleted(self, digest: int) -> None:
         """Schedule the removal of an undeleted row."""
-        if self.replicator.is_counter(digest):
-            self.holds.repair_later(digest, 0.0, None)
+        if self.replicator.is_owner(digest):
+            self.holds.schedule_repair(digest, 0.0, None)
 
-    def _forget(self, digest: int) -> None:
-        """Believe that a request is sound, as its row was removed."""
+    def _handle_lifted(self, digest: int) -> None:
+        """Clear a request whose row was removed."""
         self._refusals.pop(digest, None)
         self._ledger.clear(digest)
--- a/tests/cover/test_crash_ledger.py
+++ b/tests/cover/test_crash_ledger.py
@@ -22,7 +22,7 @@
 from lifttrestle.internal.clock.manual import ManualClock
 from lifttrestle.internal.fleet.crashes.judgement import choose_evicted
 from lifttrestle.internal.fleet.crashes.judgement import CRASH_LIMIT
-from lifttrestle.internal.fleet.crashes.judgement import EARLY_SECONDS
+from lifttrestle.internal.fleet.crashes.judgement import EARLY_TRIAL_SECONDS
 from lifttrestle.internal.fleet.crashes.judgement import EPISODE_SECONDS
 from lifttrestle.internal.fleet.crashes.judgement import HOLD_SECONDS
 from lifttrestle.internal.fleet.crashes.judgement import is_dangerous
@@ -52,21 +52,21 @@
 
 class TestJudgement(unittest.TestCase):
     def test_three_upstreams_are_enough(self):
-        self.assertFalse(is_dangerous([0.0, 0.1], ended_well=False))
-        self.assertTrue(is_dangerous([0.0, 0.1, 0.1], ended_well=False))
+        self.assertFalse(is_dangerous([0.0, 0.1], succeeded=False))
+        self.assertTrue(is_dangerous([0.0, 0.1, 0.1], succeeded=False))
 
     def test_of_one_that_has_ended_well_a_herd_counts_once(self):
         herd = [EPISODE_SECONDS * share for share in (0.0, 0.3, 0.6, 1.0)]
-        self.assertFalse(is_dangerous(herd, ended_well=True))
+        self.assertFalse(is_dangerous(herd, succeeded=True))
         again = [time + 5.0 * turn for turn in range(2) for time in herd]
-        self.assertFalse(is_dangerous(again, ended_well=True))
+        self.assertFalse(is_dangerous(again, succeeded=True))
         again.append(20.0)
-        self.assertTrue(is_dangerous(again, ended_well=True))
+        self.assertTrue(is_dangerous(again, succeeded=True))
 
     def test_way_back(self):
         for seconds, refusals, trials, may in (
             (0.5, 1000, 0, False),
-            (EARLY_SECONDS, TRIAL_REFUSALS, 0, True),
+            (EARLY_TRIAL_SECONDS, TRIAL_REFUSALS, 0, True),
             (TRIAL_SECONDS - 1, TRIAL_REFUSALS - 1, 0, False),
             (TRIAL_SECONDS, 0, 0, True),
             (TRIAL_SECONDS, 1000, 1, False),
@@ -104,7 +104,7 @@
         ledger, _ = make_ledger()
         ledger.note_crashes(DIGEST, STARTS[:2])
         self.assertFalse(ledger.is_dangerous(DIGEST))
-        self.assertTrue(ledger.is_dangerous(DIGEST, unproved=1))
+        self.assertTrue(ledger.is_dangerous(DIGEST, unconfirmed=1))
 
     def test_good_end_clears(self):
         ledger, _ = make_ledger()
@@ -120,7 +120,7 @@
         ledger.note_success(DIGEST)
         self.assertTrue(ledger.merge(CrashItem(DIGEST, STARTS)))
         self.assertFalse(ledger.is_dangerous(DIGEST))
-        known = CrashItem(DIGEST, STARTS, ended_well=True)
+        known = CrashItem(DIGEST, STARTS, succeeded=True)
         self.assertFalse(ledger.merge(known))
 
     def test_crashes_end_some_time(self):
@@ -135,7 +135,7 @@
             ledger.note_crashes(digest, [1])
             ledger.note_success(digest)
         self.assertEqual(len(ledger._records), MAX_RECORDS)
-        self.assertLessEqual(len(ledger._good), 2 * MAX_RECORDS)
+        self.assertLessEqual(len(ledger._succeeded), 2 * MAX_RECORDS)
         ledger.note_crashes(DIGEST, list(range(5000)))
         self.assertLess(ledger.count_crashed(DIGEST), 100)
 
@@ -158,7 +158,7 @@
                 ledger.merge(item)
             told = ledger.build_item(DIGEST)
             outcomes.append(
-                (sorted(told.crashed), sorted(told.forgiven), told.ended_well)
+                (sorted(told.crashed), sorted(told.retracted), told.succeeded)
             )
             items = items + source.sample(items, len(items) // 2)
             source.shuffle(items)
--- a/tests/cover/test_crash_memory.py
+++ b/tests/cover/test_crash_memory.py
@@ -16,14 +16,14 @@
 import unittest
 
 from lifttrestle.internal.fleet.crashes.held_row import build_key
-from lifttrestle.internal.fleet.crashes.holds import build_held
+from lifttrestle.internal.fleet.crashes.holds import build_held_row
 from lifttrestle.internal.fleet.crashes.holds import MAX_HELD
 from lifttrestle.internal.fleet.crashes.judgement import HOLD_SECONDS
 from lifttrestle.internal.fleet.crashes.messages import CrashItem
 from lifttrestle.internal.fleet.crashes.messages import CrashUpdate
-from lifttrestle.internal.fleet.crashes.replicator import COUNTERS
 from lifttrestle.internal.fleet.crashes.replicator import MAX_ITEMS
-from lifttrestle.internal.fleet.crashes.replicator import TELLS
+from lifttrestle.internal.fleet.crashes.replicator import OWNER_COUNT
+from lifttrestle.internal.fleet.crashes.replicator import SEND_COUNT
 from lifttrestle.internal.fleet.state.load_messages import MAX_DATAGRAM_BYTES
 from lifttrestle.internal.fleet.state.load_messages import write_message
 from lifttrestle.internal.fleet.state.roster import FLEET_TABLE
@@ -56,7 +56,9 @@
                 for number in range(20):
                     fleet.crash(number, 0, [DIGEST + number])
                 fleet.send_updates()
-                self.assertLessEqual(fleet.messages, 20 * COUNTERS * TELLS)
+                self.assertLessEqual(
+                    fleet.messages, 20 * OWNER_COUNT * SEND_COUNT
+                )
 
     def test_one_that_ended_well_elsewhere_is_not_held(self):
         fleet = CrashFleet(82)
@@ -85,7 +87,7 @@
             fleet.crash(number, number, [DIGEST])
             fleet.send_updates()
         writers = [item for item in fleet.trackers if item.holds._due]
-        self.assertLessEqual(len(writers), 3 + COUNTERS)
+        self.assertLessEqual(len(writers), 3 + OWNER_COUNT)
         rows = asyncio.run(self.write_all(fleet))
         self.assertEqual(rows, [build_key(DIGEST)])
 
@@ -101,8 +103,8 @@
     def test_message_fits_a_datagram(self):
         starts = list(range(2**32 - 64, 2**32))
         item = CrashItem(2**64 - 1, starts[:8], starts[8:16], True)
-        news = CrashUpdate('front-bkk-lakkrabang-12', [item] * MAX_ITEMS)
-        self.assertLess(len(write_message(news)), MAX_DATAGRAM_BYTES)
+        update = CrashUpdate('front-bkk-lakkrabang-12', [item] * MAX_ITEMS)
+        self.assertLess(len(write_message(update)), MAX_DATAGRAM_BYTES)
 
 
 class TestRows(unittest.TestCase):
@@ -111,8 +113,8 @@
         self.holds = self.fleet.trackers[0].holds
 
     def hold(self, digest, workspace='acme'):
-        row = build_held(self.fleet.clock, workspace, 'safe', 3, 'r0')
-        self.holds.write_later(digest, 0.0, row)
+        row = build_held_row(self.fleet.clock, workspace, 'safe', 3, 'r0')
+        self.holds.schedule_write(digest, 0.0, row)
         asyncio.run(self.holds.write_due())
 
     def test_hold_ends_some_time_and_can_begin_anew(self):
@@ -127,7 +129,7 @@
         self.assertIsNotNone(self.holds.get(DIGEST))
 
     def test_rows_are_bounded_and_make_place_for_their_own_caller(self):
-        self.holds.is_wanted = lambda digest: True
+        self.holds.must_hold = lambda digest: True
         self.hold(1, 'vault')
         for number in range(MAX_HELD + 5):
             self.fleet.clock.advance(0.01)
@@ -146,7 +148,7 @@
             return await write_row(write)
 
         self.fleet.rows.write_row = note
-        self.holds.is_wanted = lambda digest: True
+        self.holds.must_hold = lambda digest: True
         self.hold(DIGEST)
         for _ in range(100):
             self.fleet.clock.advance(0.1)
@@ -159,7 +161,7 @@
 
     def test_row_whose_answer_was_lost_is_not_written_twice(self):
         self.fleet.rows.lose_answers = True
-        self.holds.is_wanted = lambda digest: True
+        self.holds.must_hold = lambda digest: True
         self.hold(DIGEST)
         self.fleet.rows.lose_answers = False
         version = self.fleet.rows.version
@@ -177,5 +179,5 @@
             (build_key(DIGEST), b'{"workspace": 7}'),
         ):
             with self.subTest(key=key, value=value[:20]):
-                self.holds.take(VersionedRow(key, value, 1))
+                self.holds.apply_row(VersionedRow(key, value, 1))
                 self.assertEqual(len(self.holds), 0)
--- a/tests/cover/test_loss_watch.py
+++ b/tests/cover/test_loss_watch.py
@@ -31,8 +31,10 @@
         self.watch = LossWatch(self.clock, HEARTBEAT)
         self.crashed = []
         self.sound = []
-        self.watch.tell_crashed = lambda digest, _: self.crashed.append(digest)
-        self.watch.tell_sound = lambda digest, _: self.sound.append(digest)
+        self.watch.on_crashed = lambda digest, _: self.crashed.append(digest)
+        self.watch.on_crash_retracted = lambda digest, _: self.sound.append(
+            digest
+        )
         self.directory.tell_ended = self.watch.note_ended
         self.list('p1')
         self.upstream = self.directory.get('p1')
@@ -44,14 +46,14 @@
     def lose(self, digest=DIGEST):
         self.watch.note_lost(digest, self.upstream)
 
-    def look(self, seconds):
+    def sweep(self, seconds):
         self.clock.advance(seconds)
-        self.watch.look(lambda start: self.directory.get_start(start))
+        self.watch.sweep(lambda start: self.directory.get_start(start))
 
     def test_lost_connection_alone_is_no_crash(self):
         self.lose()
         self.assertTrue(self.upstream.reach.is_due(self.clock.monotonic()))
-        self.look(60.0)
+        self.sweep(60.0)
         self.assertEqual(self.crashed, [])
 
     def test_closed_port_is_a_crash(self):
@@ -114,18 +116,18 @@
     def test_cut_that_refuses_connections_is_taken_back(self):
         self.lose()
         self.watch.note_probed(self.upstream.start, False, True)
-        self.look(60.0)
+        self.sweep(60.0)
         self.assertEqual(self.sound, [DIGEST])
 
     def test_nothing_is_taken_back_while_the_list_is_not_current(self):
         self.watch.is_list_current = lambda: False
         self.lose()
         self.watch.note_probed(self.upstream.start, False, True)
-        self.look(60.0)
+        self.sweep(60.0)
         self.assertEqual(self.sound, [])
         self.watch.is_list_current = lambda: True
         self.take('p1', None)
-        self.look(1.0)
+        self.sweep(1.0)
         self.assertEqual(self.sound, [])
 
     def test_all_that_it_had_under_way_is_told_of(self):
--- a/tests/cover/test_restored_holds.py
+++ b/tests/cover/test_restored_holds.py
@@ -18,10 +18,10 @@
 
 from lifttrestle.internal.clock.manual import ManualClock
 from lifttrestle.internal.fleet.crashes.held_row import build_key
-from lifttrestle.internal.fleet.crashes.held_row import write_held
-from lifttrestle.internal.fleet.crashes.holds import build_held
+from lifttrestle.internal.fleet.crashes.held_row import encode_held_row
+from lifttrestle.internal.fleet.crashes.holds import build_held_row
 from lifttrestle.internal.fleet.crashes.tracker import CrashTracker
-from lifttrestle.internal.fleet.crashes.tracker import HEARER_SECONDS
+from lifttrestle.internal.fleet.crashes.tracker import OWNER_DELAY_SECONDS
 from lifttrestle.internal.fleet.state.directory import UpstreamDirectory
 from lifttrestle.internal.fleet.state.roster import FLEET_TABLE
 from lifttrestle.internal.fleet.state.roster import Roster
@@ -55,8 +55,8 @@
 
     def take_held_row(self, by):
         """Take in a row of the held request, written by the given router."""
-        row = build_held(self.clock, 'acme', 'safe', 3, by)
-        value = write_held(row)
+        row = build_held_row(self.clock, 'acme', 'safe', 3, by)
+        value = encode_held_row(row)
         self.memory.apply_row(VersionedRow(KEY, value, 7))
         return value
 
@@ -84,7 +84,7 @@
         self.memory.apply_row(VersionedRow(KEY, None, version, RowOrigin.LOST))
         self.write_due()
         self.assertIsNone(self.get_row().value)
-        self.clock.advance(HEARER_SECONDS)
+        self.clock.advance(OWNER_DELAY_SECONDS)
         self.write_due()
         self.assertEqual(self.get_row().value, value)
 
@@ -94,7 +94,7 @@
         version = build_version(1, 5)
         self.memory.apply_row(VersionedRow(KEY, None, version, RowOrigin.LOST))
         self.memory.apply_row(VersionedRow(KEY, value, version + 1))
-        self.clock.advance(HEARER_SECONDS)
+        self.clock.advance(OWNER_DELAY_SECONDS)
         self.write_due()
         self.assertIsNone(self.get_row().value)
 
--- a/tests/nocover/test_crashing_requests.py
+++ b/tests/nocover/test_crashing_requests.py
@@ -129,7 +129,7 @@
 def drop_datagrams(fleets):
     """Have no router tell another anything by datagrams."""
     for fleet in fleets:
-        fleet.router.crashes.replicator.send = lambda news, key: None
+        fleet.router.crashes.replicator.send = lambda update, key: None
 
 
 class TestFleet(unittest.IsolatedAsyncioTestCase):
--- a/tests/support/crash_fleet.py
+++ b/tests/support/crash_fleet.py
@@ -19,7 +19,7 @@
 
 from lifttrestle.internal.clock.manual import ManualClock
 from lifttrestle.internal.fleet.crashes.loss_watch import StartEvidence
-from lifttrestle.internal.fleet.crashes.replicator import TELLS
+from lifttrestle.internal.fleet.crashes.replicator import SEND_COUNT
 from lifttrestle.internal.fleet.crashes.tracker import CrashTracker
 from lifttrestle.internal.fleet.crashes.tracker import RequestOrigin
 from lifttrestle.internal.fleet.state.directory import UpstreamDirectory
@@ -76,8 +76,8 @@
             self.directories.append(directory)
             self.trackers.append(memory)
 
-    def _send(self, news, key) -> None:
-        data = write_message(news)
+    def _send(self, update, key) -> None:
+        data = write_message(update)
         self.messages += 1
         self.bytes += len(data)
         if self._source.random() < self._lost_share:
@@ -95,9 +95,9 @@
 
     def send_updates(self) -> None:
         """Tell all that is new, as often as it is told."""
-        for _ in range(TELLS):
+        for _ in range(SEND_COUNT):
             for memory in self.trackers:
-                memory.replicator.tell_waiting()
+                memory.replicator.send_pending()
 
     def count_knowing(self, digest: int) -> int:
         """Return how many routers hold a request."""
