--- a/tests/support/crashing_upstream.py
+++ b/tests/support/crashing_upstream.py
@@ -65,9 +65,9 @@
         else:
             await super().start()
         self._starts += 1
-        self.list_start()
+        self.put_entry()
 
-    def list_start(self, **fields: object) -> None:
+    def put_entry(self, **fields: object) -> None:
         """Write the entry of the start that runs."""
         entry = make_entry(
             service='plain',
--- a/tests/support/restore_play.py
+++ b/tests/support/restore_play.py
@@ -136,12 +136,12 @@
             self.departures.append(Departure(begin, time.monotonic()))
             self._state = 'ready'
             self._starts += 1
-            self.list_start()
+            self.put_entry()
 
     def write_entry(self) -> None:
         """Write the entry of the current start, if there is one."""
         if self._state != 'gone':
-            self.list_start(state=self._state)
+            self.put_entry(state=self._state)
 
     def remove_stale_entry(self) -> None:
         """Remove a restored entry while no start is running."""
