--- a/src/lifttrestle/internal/fleet/crashes/tracker.py
+++ b/src/lifttrestle/internal/fleet/crashes/tracker.py
@@ -211,7 +211,7 @@
         )
 
     def _retract_crash(self, digest: int, start: int) -> None:
-        """Retract a crash that the upstream turned out not to have had."""
+        """Retract a crash that later evidence has refuted."""
         if self._ledger.retract(digest, [start]):
             self.replicator.queue_update(digest)
 
@@ -223,7 +223,7 @@
         *,
         replicate: bool,
     ) -> None:
-        """Begin or end a hold when the danger of a request has changed."""
+        """Begin or end the hold if the request became dangerous or safe."""
         dangerous = self._ledger.is_dangerous(digest)
         if was_dangerous == dangerous:
             return
--- a/tests/cover/test_crash_ledger.py
+++ b/tests/cover/test_crash_ledger.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Tests of what is counted against a request, and by whom."""
+"""Tests of the crash records of requests and of the rules for holds."""
 
 import datetime
 import random
@@ -55,16 +55,16 @@
         self.assertFalse(is_dangerous([0.0, 0.1], succeeded=False))
         self.assertTrue(is_dangerous([0.0, 0.1, 0.1], succeeded=False))
 
-    def test_of_one_that_has_ended_well_a_herd_counts_once(self):
-        herd = [EPISODE_SECONDS * share for share in (0.0, 0.3, 0.6, 1.0)]
-        self.assertFalse(is_dangerous(herd, succeeded=True))
-        again = [time + 5.0 * turn for turn in range(2) for time in herd]
+    def test_group_counts_once_for_a_request_that_has_succeeded(self):
+        group = [EPISODE_SECONDS * share for share in (0.0, 0.3, 0.6, 1.0)]
+        self.assertFalse(is_dangerous(group, succeeded=True))
+        again = [time + 5.0 * turn for turn in range(2) for time in group]
         self.assertFalse(is_dangerous(again, succeeded=True))
         again.append(20.0)
         self.assertTrue(is_dangerous(again, succeeded=True))
 
-    def test_way_back(self):
-        for seconds, refusals, trials, may in (
+    def test_when_a_trial_is_allowed(self):
+        for seconds, refusals, trials, allowed in (
             (0.5, 1000, 0, False),
             (EARLY_TRIAL_SECONDS, TRIAL_REFUSALS, 0, True),
             (TRIAL_SECONDS - 1, TRIAL_REFUSALS - 1, 0, False),
@@ -77,9 +77,9 @@
                 found = may_try_again(
                     seconds, refusals=refusals, trials=trials
                 )
-                self.assertIs(found, may)
+                self.assertIs(found, allowed)
 
-    def test_a_caller_with_many_makes_place_for_itself(self):
+    def test_evicts_from_the_workspace_with_most_holds(self):
         workspaces = {1: 'acme', 2: 'vault', 3: 'vault', 4: 'acme', 5: 'vault'}
         self.assertEqual(choose_evicted(workspaces), 2)
 
@@ -100,22 +100,22 @@
             ledger.merge(CrashItem(DIGEST, [start]))
         self.assertTrue(ledger.is_dangerous(DIGEST))
 
-    def test_what_was_lost_just_now_counts_before_it_is_proved(self):
+    def test_lost_upstream_counts_before_its_crash_is_confirmed(self):
         ledger, _ = make_ledger()
         ledger.note_crashes(DIGEST, STARTS[:2])
         self.assertFalse(ledger.is_dangerous(DIGEST))
         self.assertTrue(ledger.is_dangerous(DIGEST, unconfirmed=1))
 
-    def test_good_end_clears(self):
+    def test_success_clears(self):
         ledger, _ = make_ledger()
         ledger.note_crashes(DIGEST, STARTS)
         self.assertTrue(ledger.note_success(DIGEST))
         self.assertFalse(ledger.is_dangerous(DIGEST))
-        # The same crashes are told again, by one that is behind.
+        # A stale update reports the same crashes again.
         ledger.merge(CrashItem(DIGEST, STARTS))
         self.assertFalse(ledger.is_dangerous(DIGEST))
 
-    def test_good_end_of_earlier_is_told_to_one_that_does_not_know(self):
+    def test_earlier_success_is_sent_to_a_router_without_it(self):
         ledger, _ = make_ledger()
         ledger.note_success(DIGEST)
         self.assertTrue(ledger.merge(CrashItem(DIGEST, STARTS)))
@@ -129,7 +129,7 @@
         clock.advance(HOLD_SECONDS + 1)
         self.assertFalse(ledger.is_dangerous(DIGEST))
 
-    def test_many_requests_fill_nothing(self):
+    def test_records_are_bounded(self):
         ledger, _ = make_ledger()
         for digest in range(2 * MAX_RECORDS):
             ledger.note_crashes(digest, [1])
@@ -156,9 +156,13 @@
             ledger, _clock = make_ledger()
             for item in items:
                 ledger.merge(item)
-            told = ledger.build_item(DIGEST)
+            merged = ledger.build_item(DIGEST)
             outcomes.append(
-                (sorted(told.crashed), sorted(told.retracted), told.succeeded)
+                (
+                    sorted(merged.crashed),
+                    sorted(merged.retracted),
+                    merged.succeeded,
+                )
             )
             items = items + source.sample(items, len(items) // 2)
             source.shuffle(items)
--- a/tests/cover/test_crash_memory.py
+++ b/tests/cover/test_crash_memory.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Tests of what a whole fleet knows of crashes, and at what cost."""
+"""Tests of the replication of crash records and the rows of holds."""
 
 import asyncio
 import unittest
@@ -41,15 +41,15 @@
                 with self.subTest(routers=routers, lost=lost_share):
                     fleet = CrashFleet(routers, lost_share=lost_share)
                     for number in range(3):
-                        self.assertEqual(fleet.count_knowing(DIGEST), 0)
+                        self.assertEqual(fleet.count_holding(DIGEST), 0)
                         fleet.crash(number, number, [DIGEST])
                         fleet.send_updates()
-                    known = fleet.count_knowing(DIGEST)
-                    # The row tells those that no message reached.
+                    known = fleet.count_holding(DIGEST)
+                    # Routers that no message reaches learn of it by the row.
                     self.assertGreaterEqual(known, 0.97 * routers)
 
     def test_crashed_engine_costs_few_messages_however_many_routers(self):
-        # Each of 20 routers had one request at it.
+        # Each of 20 routers has one request in progress at the engine.
         for routers in SIZES[1:]:
             with self.subTest(routers=routers):
                 fleet = CrashFleet(routers)
@@ -60,26 +60,26 @@
                     fleet.messages, 20 * OWNER_COUNT * SEND_COUNT
                 )
 
-    def test_one_that_ended_well_elsewhere_is_not_held(self):
+    def test_request_that_succeeded_elsewhere_is_not_held(self):
         fleet = CrashFleet(82)
         fleet.trackers[81].note_success(DIGEST)
         for number in range(5):
             fleet.crash(number, number, [DIGEST])
         fleet.send_updates()
-        self.assertEqual(fleet.count_knowing(DIGEST), 0)
+        self.assertEqual(fleet.count_holding(DIGEST), 0)
         rows = asyncio.run(self.write_all(fleet))
         self.assertEqual(rows, [])
 
-    def test_good_end_later_clears_it_everywhere(self):
+    def test_later_success_clears_it_everywhere(self):
         fleet = CrashFleet(82)
         for number in range(3):
             fleet.crash(number, number, [DIGEST])
         fleet.send_updates()
-        self.assertEqual(fleet.count_knowing(DIGEST), 82)
-        # It was under way when the others crashed.
+        self.assertEqual(fleet.count_holding(DIGEST), 82)
+        # This run was in progress while the other upstreams crashed.
         fleet.trackers[81].note_success(DIGEST)
         fleet.send_updates()
-        self.assertEqual(fleet.count_knowing(DIGEST), 0)
+        self.assertEqual(fleet.count_holding(DIGEST), 0)
 
     def test_few_routers_write_the_row(self):
         fleet = CrashFleet(195)
@@ -92,10 +92,10 @@
         self.assertEqual(rows, [build_key(DIGEST)])
 
     async def write_all(self, fleet):
-        """Have each router write what is due; return the rows' keys."""
+        """Run the due writes of each router; return the keys of the rows."""
         fleet.clock.advance(2.0)
-        for memory in fleet.trackers:
-            await memory.holds.write_due()
+        for tracker in fleet.trackers:
+            await tracker.holds.write_due()
         return [
             row.key for row in (await fleet.rows.read_table(FLEET_TABLE)).rows
         ]
@@ -128,7 +128,7 @@
         asyncio.run(self.holds.write_due())
         self.assertIsNotNone(self.holds.get(DIGEST))
 
-    def test_rows_are_bounded_and_make_place_for_their_own_caller(self):
+    def test_rows_are_bounded_and_evicted_within_their_workspace(self):
         self.holds.must_hold = lambda digest: True
         self.hold(1, 'vault')
         for number in range(MAX_HELD + 5):
--- a/tests/cover/test_loss_watch.py
+++ b/tests/cover/test_loss_watch.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Tests of whether an upstream that broke off an answer has crashed."""
+"""Tests of the detection of crashes after aborted answers."""
 
 import msgspec
 
@@ -74,7 +74,7 @@
 
     def test_newer_start_under_its_name_is_a_crash(self):
         self.lose()
-        # The next start listens at the same address already.
+        # The next start already listens at the same address.
         self.watch.note_probed(self.upstream.start, True, False)
         self.list('p1', BORN + 500)
         self.assertEqual(self.crashed, [DIGEST])
@@ -85,7 +85,8 @@
         self.assertEqual(self.crashed, [DIGEST])
 
     def test_entry_that_ends_after_it_took_a_connection_is_none(self):
-        # It may leave without a word, and something else broke the answer.
+        # The upstream may stop without notice, and the answer may have been
+        # aborted for another reason.
         self.lose()
         self.watch.note_probed(self.upstream.start, True, False)
         self.take('p1', None)
@@ -106,7 +107,7 @@
         now = self.clock.monotonic()
         self.lose()
         self.clock.advance(0.1)
-        # Sent before, and read late.
+        # The request was sent before the loss and its answer read after it.
         self.watch.note_answered(self.upstream, now - 0.1)
         self.watch.note_probed(self.upstream.start, False, True)
         self.assertEqual((self.crashed, self.sound), ([DIGEST], []))
--- a/tests/cover/test_restored_holds.py
+++ b/tests/cover/test_restored_holds.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Rows of held requests when the store is restored from an older copy."""
+"""Tests of rows of held requests after a restore of the store."""
 
 import asyncio
 import datetime
@@ -41,9 +41,9 @@
     def setUp(self):
         self.rows = MemoryRows()
         self.clock = ManualClock(START)
-        self.memory = self.make_memory('one')
+        self.tracker = self.make_tracker('one')
 
-    def make_memory(self, vm):
+    def make_tracker(self, vm):
         return CrashTracker(
             vm,
             self.rows,
@@ -54,34 +54,36 @@
         )
 
     def take_held_row(self, by):
-        """Take in a row of the held request, written by the given router."""
+        """Apply a row of the held request, written by the given router."""
         row = build_held_row(self.clock, 'acme', 'safe', 3, by)
         value = encode_held_row(row)
-        self.memory.apply_row(VersionedRow(KEY, value, 7))
+        self.tracker.apply_row(VersionedRow(KEY, value, 7))
         return value
 
     def write_due(self):
-        asyncio.run(self.memory.holds.write_due())
+        asyncio.run(self.tracker.holds.write_due())
 
     def get_row(self):
         return self.rows.get(FLEET_TABLE, KEY)
 
     def test_regression_lost_row_ended_a_hold(self):
-        # A lost row was taken for a lifted request, which ran again.
+        # A lost row was treated as a removed one, so the request ran again.
         value = self.take_held_row('one')
         version = build_version(1, 5)
         lost = VersionedRow(KEY, None, version, RowOrigin.LOST)
-        self.memory.apply_row(lost)
-        self.assertTrue(self.memory.is_held(DIGEST))
+        self.tracker.apply_row(lost)
+        self.assertTrue(self.tracker.is_held(DIGEST))
         self.write_due()
         self.assertEqual(self.get_row().value, value)
-        self.assertTrue(self.memory.is_held(DIGEST))
+        self.assertTrue(self.tracker.is_held(DIGEST))
 
     def test_lost_row_of_another_router_is_rewritten_after_a_delay(self):
-        # Otherwise the row stays lost if the router that wrote it is gone.
+        # Without this the row stays lost if the router that wrote it is gone.
         value = self.take_held_row('other')
         version = build_version(1, 5)
-        self.memory.apply_row(VersionedRow(KEY, None, version, RowOrigin.LOST))
+        self.tracker.apply_row(
+            VersionedRow(KEY, None, version, RowOrigin.LOST)
+        )
         self.write_due()
         self.assertIsNone(self.get_row().value)
         self.clock.advance(OWNER_DELAY_SECONDS)
@@ -89,46 +91,48 @@
         self.assertEqual(self.get_row().value, value)
 
     def test_lost_row_that_another_router_rewrote_is_not_rewritten(self):
-        # Otherwise each router that counts the request would write it.
+        # Without this each owner of the request would write the row.
         value = self.take_held_row('other')
         version = build_version(1, 5)
-        self.memory.apply_row(VersionedRow(KEY, None, version, RowOrigin.LOST))
-        self.memory.apply_row(VersionedRow(KEY, value, version + 1))
+        self.tracker.apply_row(
+            VersionedRow(KEY, None, version, RowOrigin.LOST)
+        )
+        self.tracker.apply_row(VersionedRow(KEY, value, version + 1))
         self.clock.advance(OWNER_DELAY_SECONDS)
         self.write_due()
         self.assertIsNone(self.get_row().value)
 
     def test_regression_request_that_was_lifted_was_held_again(self):
-        # An undeleted row was taken for a newly written one.
+        # An undeleted row was treated as a newly written one.
         value = self.take_held_row('one')
-        self.memory.apply_row(VersionedRow(KEY, None, 8))
+        self.tracker.apply_row(VersionedRow(KEY, None, 8))
         version = self.rows.put(FLEET_TABLE, KEY, value)
-        self.memory.apply_row(
+        self.tracker.apply_row(
             VersionedRow(KEY, value, version, RowOrigin.UNDELETED)
         )
-        self.assertFalse(self.memory.is_held(DIGEST))
+        self.assertFalse(self.tracker.is_held(DIGEST))
         self.write_due()
         self.assertIsNone(self.get_row().value)
 
     def test_new_row_of_a_lifted_request_is_not_removed(self):
         # The removal of the undeleted row must not end a later hold.
         value = self.take_held_row('one')
-        self.memory.apply_row(VersionedRow(KEY, None, 8))
+        self.tracker.apply_row(VersionedRow(KEY, None, 8))
         version = self.rows.put(FLEET_TABLE, KEY, value)
-        self.memory.apply_row(
+        self.tracker.apply_row(
             VersionedRow(KEY, value, version, RowOrigin.UNDELETED)
         )
         version = self.rows.put(FLEET_TABLE, KEY, value)
-        self.memory.apply_row(VersionedRow(KEY, value, version))
+        self.tracker.apply_row(VersionedRow(KEY, value, version))
         self.write_due()
         self.assertEqual(self.get_row().value, value)
-        self.assertTrue(self.memory.is_held(DIGEST))
+        self.assertTrue(self.tracker.is_held(DIGEST))
 
     def test_row_written_just_before_a_restore_is_rewritten(self):
         # The watch reports a row as lost only if it has read that row.
         value = self.take_held_row('one')
         other = VersionedRow('router/x', b'{}', build_version(1, 5))
-        self.memory.apply_row(other)
-        self.memory.holds.check_epoch()
+        self.tracker.apply_row(other)
+        self.tracker.holds.check_epoch()
         self.write_due()
         self.assertEqual(self.get_row().value, value)
--- a/tests/nocover/test_crash_soak.py
+++ b/tests/nocover/test_crash_soak.py
@@ -10,20 +10,20 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""A soak of requests that crash upstreams, with real router processes.
+"""A soak test of requests that crash upstreams, with router processes.
 
-Two such requests come again and again, at any of three routers, which are
-killed and started again, one, two or all at once, before a store that does not
-answer writes at times, while upstreams also die by themselves in herds, under
-popular and single requests that are sound. Judged by what callers and
-upstreams saw:
+Two such requests are sent repeatedly to any of three routers. The routers are
+killed and restarted, one, two or all at once, and the store at times does not
+answer writes. Groups of upstreams also crash for other reasons, while they run
+popular and unique harmless requests. The rules are checked by the observations
+of callers and upstreams:
 
-a. after three upstreams have crashed under a request, and three seconds more,
-   it reaches three others at the most;
-b. no sound request is held, but for one that many ask for, whose first three
-   upstreams crashed before it ended well anywhere: that one, for 4 s.
+a. later than three seconds after the third upstream has crashed under a
+   request, the request reaches at most three others;
+b. no harmless request is held, except for up to 4 s a popular one whose first
+   three upstreams crashed before it had succeeded anywhere.
 
-More seeds by hand; the exit code is 1 if a rule was broken::
+To run more seeds by hand; the exit code is 1 if a rule was violated::
 
     python -m tests.nocover.test_crash_soak --seeds 20
 """
@@ -35,19 +35,19 @@
 from tests.support.crash_play import play
 from tests.support.router_play import play_by_hand
 
-# In 10 what many ask for was held for good: every upstream crashed under other
-# requests in the first 0.6 s, three of them under it, too.
+# With seed 10 every upstream crashes under other requests in the first 0.6 s,
+# three of them also under a popular request, which was held permanently.
 SEEDS = (1, 10)
 
 
-def tell_figures(outcome: CrashOutcome) -> str:
-    """Return one line on a play."""
+def format_outcome(outcome: CrashOutcome) -> str:
+    """Return a summary of one run in one line."""
     sent = sum(outcome.sent.values())
     return (
         f'seed {outcome.seed}: {outcome.crashes} upstreams crashed, {sent}'
         f' fatal sends, late {sorted(outcome.late.values())},'
-        f' {outcome.served} of {outcome.sound} sound requests served,'
-        f' {sum(map(len, outcome.wronged.values()))} held'
+        f' {outcome.served} of {outcome.harmless} harmless requests served,'
+        f' {sum(map(len, outcome.false_holds.values()))} held'
         f' {outcome.faults or ""}'
     )
 
@@ -57,9 +57,9 @@
         for seed in SEEDS:
             with self.subTest(seed=seed):
                 outcome = await play(seed)
-                self.assertEqual(outcome.faults, [], tell_figures(outcome))
+                self.assertEqual(outcome.faults, [], format_outcome(outcome))
                 self.assertGreater(outcome.served, 0)
 
 
 if __name__ == '__main__':
-    sys.exit(play_by_hand(play, tell_figures))
+    sys.exit(play_by_hand(play, format_outcome))
--- a/tests/nocover/test_crashing_requests.py
+++ b/tests/nocover/test_crashing_requests.py
@@ -10,19 +10,17 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Tests of requests that crash whatever runs them.
-
-What users saw: for seconds, again and again, no engine was left and every
-request was refused or failed. The order of events: a request crashed the
-engine that ran it and then a second one, to which its router sent it; its
-caller came again at another router, which did the same; 11 s later it came
-again, and so did the rest. The cause: what a request had done to upstreams was
-forgotten with the end of the request; a failure was held against the upstream
-alone, and no router told another. The evidence: three routers before ten
-upstreams, one request sent 22 times in turn to them, 44 upstreams crashed, two
-for each send, the last of them long after the first ones and after all routers
-had been replaced; with the digest of each request in the log, all of them are
-the same one.
+"""Tests of requests that crash every upstream that runs them.
+
+They guard against repeated outages of several seconds in which no engine was
+left and every request was refused or failed. A request crashed its engine and
+then a second one, at which its router retried it. Its caller then retried it
+at another router, which did the same, and again 11 s later. Routers discarded
+the crashes at the end of the request, attributed failures to the upstream
+alone and did not exchange them. With three routers and ten upstreams, one
+request sent 22 times crashed an upstream 44 times, two per send, even after
+all routers had been replaced; the digests in the log showed that it was always
+the same request.
 """
 
 import asyncio
@@ -47,17 +45,17 @@
 
 NAMES = ('front-a-1', 'front-a-2', 'front-a-3')
 UPSTREAMS = 8
-# Routers that reach each other and the store know of a crash within this.
+# Routers that reach each other and the store know of a crash after this time.
 CONTACT_SECONDS = 3.0
 LIMIT = 3
-# Longer than it takes routers to tell each other.
+# Longer than the routers take to exchange crash records.
 TURN_SECONDS = 2.0
 MAX_TRIES = 5
 
 
 @contextlib.asynccontextmanager
 async def run_routers(upstream_count=UPSTREAMS):
-    """Run three routers before upstreams that a request can crash."""
+    """Run three routers in front of upstreams that a request can crash."""
     store = FleetStoreStandin()
     address = await store.start()
     store.put('op', 'config', CONFIGURATION)
@@ -90,21 +88,22 @@
 
 
 def count_crashes(upstreams):
-    """Return how often any of them was crashed."""
+    """Return the total number of crashes of the upstreams."""
     return sum(upstream.crashes for upstream in upstreams)
 
 
 async def send_fatal(fleet, request_id, route='safe'):
-    """Send the request that crashes what runs it."""
+    """Send the request that crashes every upstream that runs it."""
     return await fleet.call(
         f'/{route}/a', method='POST', body=FATAL, request_id=request_id
     )
 
 
 async def make_dangerous(fleets, route='safe'):
-    """Send it until routers hold it, and return once all do.
+    """Send the fatal request until all routers hold it.
 
-    Two sends may meet at an upstream that is about to close its listener.
+    Two sends may reach the same upstream if its crash has not yet closed the
+    listener, so the number of sends varies.
     """
     routers = [fleet.router for fleet in fleets]
     for turn in itertools.count():
@@ -117,7 +116,7 @@
 
 
 def list_dangerous(router):
-    """Return the requests that a router knows to be dangerous."""
+    """Return the digests of the requests that a router holds."""
     crashes = router.crashes
     return [
         digest
@@ -127,7 +126,7 @@
 
 
 def drop_datagrams(fleets):
-    """Have no router tell another anything by datagrams."""
+    """Drop all datagrams with crash records between the routers."""
     for fleet in fleets:
         fleet.router.crashes.replicator.send = lambda update, key: None
 
@@ -192,7 +191,7 @@
     async def test_same_request_at_many_routers_at_once(self):
         async with run_routers() as (fleets, upstreams):
             for upstream in upstreams:
-                upstream.away_seconds = 1.0
+                upstream.downtime_seconds = 1.0
             await asyncio.gather(
                 *(
                     send_fatal(fleets[number % 3], f'first-{number}')
@@ -200,7 +199,7 @@
                 )
             )
             if count_crashes(upstreams) < LIMIT:
-                # Most of them met at two upstreams.
+                # Most of the requests reached the same two upstreams.
                 await send_fatal(fleets[1], 'one more')
             await wait_until(lambda: list_dangerous(fleets[0].router))
             before = count_crashes(upstreams)
@@ -224,33 +223,33 @@
             )
         self.assertEqual((answer.status, other_key.status), (502, 503))
 
-    async def test_failure_of_an_upstream_is_no_good_end(self):
-        await self.check_no_good_end(Behaviour.FAIL, 500)
+    async def test_failure_of_an_upstream_is_no_success(self):
+        await self.check_no_success(Behaviour.FAIL, 500)
 
-    async def test_rejection_by_an_upstream_is_no_good_end(self):
-        await self.check_no_good_end(Behaviour.REJECT, 413)
+    async def test_rejection_by_an_upstream_is_no_success(self):
+        await self.check_no_success(Behaviour.REJECT, 413)
 
-    async def check_no_good_end(self, behaviour, status):
-        """Check that it is held after an answer of which it may not run."""
+    async def check_no_success(self, behaviour, status):
+        """Check that an answer that proves no run doesn't prevent a hold."""
         async with run_routers() as (fleets, upstreams):
             for number in range(2):
                 await send_fatal(fleets[number], f'first-{number}', 'once')
             before = count_crashes(upstreams)
             for upstream in upstreams:
-                upstream.fatal = b'something else'
+                upstream.fatal_prefix = b'something else'
                 upstream.script.append(behaviour)
             answer = await send_fatal(fleets[2], 'answered', 'once')
             for upstream in upstreams:
-                upstream.fatal = FATAL
+                upstream.fatal_prefix = FATAL
                 upstream.script.clear()
             await send_fatal(fleets[0], 'third', 'once')
             if before == LIMIT - 1:
-                # Two sends may also meet at one that is about to close.
+                # Otherwise two sends have reached the same crashing upstream.
                 await wait_until(lambda: list_dangerous(fleets[1].router))
         self.assertEqual(answer.status, status)
 
 
-class TestLater(unittest.IsolatedAsyncioTestCase):
+class TestNewRouter(unittest.IsolatedAsyncioTestCase):
     async def test_router_that_starts_after_all_were_gone_knows(self):
         async with run_routers() as (fleets, upstreams):
             await make_dangerous(fleets)
@@ -294,7 +293,7 @@
                 await newcomer.stop()
 
 
-class TestWayBack(unittest.IsolatedAsyncioTestCase):
+class TestRelease(unittest.IsolatedAsyncioTestCase):
     async def test_lifted_request_runs_again(self):
         async with run_routers() as (fleets, upstreams):
             await make_dangerous(fleets)
@@ -331,13 +330,13 @@
                 )
             self.assertEqual(count_crashes(upstreams), before + 1)
 
-    async def test_one_that_ends_well_then_is_held_no_more(self):
+    async def test_request_that_succeeds_then_is_released(self):
         async with run_routers() as (fleets, upstreams):
             await make_dangerous(fleets)
             holds = [fleet.router.crashes.holds for fleet in fleets]
             await wait_until(lambda: all(len(item) for item in holds))
             for upstream in upstreams:
-                upstream.fatal = b'something else'
+                upstream.fatal_prefix = b'something else'
             with mock.patch.object(
                 HoldRows,
                 'get_age',
@@ -350,10 +349,10 @@
         self.assertEqual((answer.status, last.status), (200, 200))
 
 
-class TestInnocent(unittest.IsolatedAsyncioTestCase):
-    async def test_what_many_ask_for_is_not_held_for_a_herd(self):
-        # Identical requests are under way everywhere when upstreams die by
-        # themselves, again and again.
+class TestHarmless(unittest.IsolatedAsyncioTestCase):
+    async def test_popular_request_is_not_held_for_group_crashes(self):
+        # Identical requests run at all upstreams during repeated crashes of
+        # groups of upstreams that have other causes.
         async with run_routers() as (fleets, upstreams):
             for upstream in upstreams:
                 upstream.run_seconds = 0.1
--- a/tests/nocover/test_held_command.py
+++ b/tests/nocover/test_held_command.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Tests of the command that lists and lifts held requests."""
+"""Tests of the command that lists held requests and lifts holds."""
 
 import asyncio
 import contextlib
--- a/tests/support/crash_fleet.py
+++ b/tests/support/crash_fleet.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Many routers that tell each other of crashes, without sockets."""
+"""A fleet of routers that exchange crash records without sockets."""
 
 import datetime
 import random
@@ -38,10 +38,11 @@
 
 
 class CrashFleet:
-    """Routers with one directory each, and the messages between them.
+    """Routers with one directory each, connected by lossy messages.
 
-    :param lost_share: of the messages that get lost.
-    :ivar messages: that were sent, and their bytes.
+    :param lost_share: share of the messages that are lost.
+    :ivar messages: number of sent messages.
+    :ivar bytes: total size of the sent messages.
     """
 
     def __init__(
@@ -69,12 +70,12 @@
             for name in names:
                 row = msgspec.json.encode(RouterRow('a', '127.0.0.1:9'))
                 roster.take(VersionedRow(name, row, 1))
-            memory = CrashTracker(
+            tracker = CrashTracker(
                 f'r{number}', self.rows, directory, roster, self.clock, 1.2
             )
-            memory.replicator.send = self._send
+            tracker.replicator.send = self._send
             self.directories.append(directory)
-            self.trackers.append(memory)
+            self.trackers.append(tracker)
 
     def _send(self, update, key) -> None:
         data = write_message(update)
@@ -86,19 +87,19 @@
         self.trackers[number].handle_update(read_message(data))
 
     def crash(self, router: int, upstream: int, digests: list[int]) -> None:
-        """Have an upstream crash under what one router has there."""
-        memory = self.trackers[router]
+        """Crash an upstream under requests of one router."""
+        tracker = self.trackers[router]
         known = self.directories[router].get(f'p{upstream}')
         for digest in digests:
-            memory.note_lost(digest, ORIGIN, known)
-        memory.losses.note_evidence(known.start, StartEvidence.REFUSED)
+            tracker.note_lost(digest, ORIGIN, known)
+        tracker.losses.note_evidence(known.start, StartEvidence.REFUSED)
 
     def send_updates(self) -> None:
-        """Tell all that is new, as often as it is told."""
+        """Send all pending updates, with all their repetitions."""
         for _ in range(SEND_COUNT):
-            for memory in self.trackers:
-                memory.replicator.send_pending()
+            for tracker in self.trackers:
+                tracker.replicator.send_pending()
 
-    def count_knowing(self, digest: int) -> int:
-        """Return how many routers hold a request."""
-        return sum(memory.is_held(digest) for memory in self.trackers)
+    def count_holding(self, digest: int) -> int:
+        """Return the number of routers that hold a request."""
+        return sum(tracker.is_held(digest) for tracker in self.trackers)
--- a/tests/support/crash_play.py
+++ b/tests/support/crash_play.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""One play of requests that crash upstreams, before killed routers."""
+"""One soak run of requests that crash upstreams while routers die."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -27,9 +27,9 @@
 from tests.support.soak_call import SoakCall
 from tests.support.soak_records import rest
 
-# What the fleet may make of what it knows: after three upstreams have crashed
-# and routers had this long to hear of it, a request reaches three more at the
-# most.
+# After three upstreams have crashed under a request and this time has passed,
+# in which the routers exchange their records, the request may reach at most
+# three more upstreams.
 CONTACT_SECONDS = 3.0
 LIMIT = 3
 FATAL_BODIES = (FATAL + b' 1', FATAL + b' 2')
@@ -39,48 +39,56 @@
 ROUTERS = 3
 PLAY_SECONDS = 12.0
 HELD = b'crashes_upstreams'
-# What many ask for, and has ended well nowhere yet, can't be told from what
-# crashes upstreams when three of them crash under it in the first moments. It
-# has its trial after ten refusals, a fifth of a second apart, and a second.
-WRONGED_SECONDS = 4.0
+# Maximum duration of a false hold. A popular request that has not succeeded
+# yet can't be distinguished from a dangerous one if three upstreams crash
+# under it right after the start. It has its trial after one second and ten
+# refusals, which are a fifth of a second apart.
+MAX_FALSE_HOLD_SECONDS = 4.0
 
 
 @dataclasses.dataclass
 class CrashOutcome:
-    """What callers and upstreams saw.
-
-    :ivar late: by body, how often it reached an upstream after all that are
-        in touch could know.
-    :ivar wronged: by body, when sound requests were refused as dangerous.
+    """What callers and upstreams observed.
+
+    :ivar crashes: number of crashes of upstreams.
+    :ivar harmless: number of harmless requests.
+    :ivar served: number of harmless requests that were served.
+    :ivar late: by body, how often a fatal request reached an upstream after
+        all connected routers had time to learn of its crashes.
+    :ivar sent: by body, how often a fatal request was sent.
+    :ivar false_holds: by body, when harmless requests were refused as
+        dangerous, monotonic seconds.
     """
 
     seed: int
     crashes: int = 0
-    sound: int = 0
+    harmless: int = 0
     served: int = 0
     late: dict[bytes, int] = dataclasses.field(default_factory=dict)
     sent: dict[bytes, int] = dataclasses.field(default_factory=dict)
-    wronged: dict[bytes, list[float]] = dataclasses.field(default_factory=dict)
+    false_holds: dict[bytes, list[float]] = dataclasses.field(
+        default_factory=dict
+    )
 
     @property
     def faults(self) -> list[str]:
-        """Return the broken rules in words."""
+        """Return a description of each violated rule."""
         found = [
             f'{body!r} reached {count} upstreams too late'
             for body, count in self.late.items()
             if count > LIMIT
         ]
-        for body, times in self.wronged.items():
+        for body, times in self.false_holds.items():
             seconds = max(times) - min(times)
-            if body not in POPULAR or seconds > WRONGED_SECONDS:
+            if body not in POPULAR or seconds > MAX_FALSE_HOLD_SECONDS:
                 found.append(f'{body!r} was held for {seconds:.1f} s')
         return found
 
 
 class RecordingUpstream(CrashingUpstream):
-    """Notes when each fatal request began to run.
+    """Records when each fatal request began to run.
 
-    :ivar fatal_runs: body and time of each.
+    :ivar fatal_runs: body and start time of each, monotonic seconds.
     """
 
     def __init__(self, instance, store, source: random.Random) -> None:
@@ -97,7 +105,7 @@
 
 
 class CrashPlay(RouterPlay[CrashOutcome, RecordingUpstream]):
-    """Plays one seed."""
+    """Runs the soak with one seed."""
 
     seconds = PLAY_SECONDS
     router_count = ROUTERS
@@ -108,22 +116,22 @@
         self._outcome = CrashOutcome(seed)
 
     def make_upstream(self, name: str) -> RecordingUpstream:
-        """Return an upstream that notes what crashes it."""
+        """Return an upstream that records the requests that crash it."""
         return RecordingUpstream(name, self._store, self._get_source(name))
 
     def list_work(self) -> list[Coroutine[None, None, None]]:
-        """Return what callers do, and what is disturbed."""
+        """Return the load of the callers and the injected faults."""
         return [
             *(self._send_fatal(body) for body in FATAL_BODIES),
-            *(self._send_sound(number) for number in range(CALLERS)),
+            *(self._send_harmless(number) for number in range(CALLERS)),
             self._kill_routers(),
-            self._lose_herds(),
+            self._crash_groups(),
         ]
 
     async def _call(
         self, source: random.Random, body: bytes
     ) -> tuple[int, bytes]:
-        """Send a request to some router; status 0 if there is no answer."""
+        """Send a request to a random router; status 0 without an answer."""
         address = source.choice(self._routers).address
         name = f'{source.getrandbits(64):x}'
         answer = await call_router(SoakCall(address, name, body=body))
@@ -136,21 +144,21 @@
             sent[body] = sent.get(body, 0) + 1
             status, _ = await self._call(source, body)
             if status in (0, 502):
-                # A caller repeats what failed, at once.
+                # Callers retry a failed request at once.
                 await self._call(source, body)
             await rest(self._done, source.uniform(0.2, 1.2))
 
-    async def _send_sound(self, number: int) -> None:
+    async def _send_harmless(self, number: int) -> None:
         source = self._get_source(f'caller {number}')
         outcome = self._outcome
         while not self._done.is_set():
             own = b'own %d' % source.getrandbits(32)
             sent = source.choice((*POPULAR, own))
             status, body = await self._call(source, sent)
-            outcome.sound += 1
+            outcome.harmless += 1
             outcome.served += status == 200
             if HELD in body:
-                times = outcome.wronged.setdefault(sent, [])
+                times = outcome.false_holds.setdefault(sent, [])
                 times.append(time.monotonic())
             await rest(self._done, source.uniform(0.0, 0.1))
 
@@ -165,7 +173,7 @@
             await rest(self._done, source.uniform(0.0, 0.5))
             await asyncio.gather(*(router.start() for router in killed))
 
-    async def _lose_herds(self) -> None:
+    async def _crash_groups(self) -> None:
         source = self._get_source('herds')
         while not self._done.is_set():
             await rest(self._done, source.uniform(1.0, 4.0))
@@ -173,7 +181,7 @@
                 upstream.begin_crash()
 
     def judge(self) -> CrashOutcome:
-        """Count what was sent too late."""
+        """Count the fatal runs that began too late."""
         outcome = self._outcome
         outcome.crashes = sum(item.crashes for item in self._upstreams)
         for body in FATAL_BODIES:
@@ -191,5 +199,5 @@
 
 
 async def play(seed: int) -> CrashOutcome:
-    """Play one seed."""
+    """Run one seed and return its outcome."""
     return await play_seed(CrashPlay, seed)
--- a/tests/support/crashing_upstream.py
+++ b/tests/support/crashing_upstream.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""An upstream that a request can crash, and that is back after a while."""
+"""An upstream stand-in that a request can crash and that restarts."""
 
 import asyncio
 
@@ -25,39 +25,40 @@
 from tests.support.fleet_upstream import FleetUpstreamStandin
 
 FIRST_BORN = 1_767_225_600_000
-# Such a body crashes whatever begins to run it.
+# A request whose body begins with this crashes the upstream that runs it.
 FATAL = b'crash'
 
 
 class CrashingUpstream(FleetUpstreamStandin):
-    """Ends with all its connections, and starts again under its name.
+    """Closes all connections at a crash and restarts under its name.
 
-    :ivar crashed: ids of the requests that would crash it.
-    :ivar crashes: how often it was crashed.
-    :ivar fatal: a body that begins so crashes it.
-    :ivar away_seconds: from a crash to its next start.
-    :ivar run_seconds: that a request runs before it ends, either way.
+    :ivar fatal_request_ids: ids of the fatal requests that it ran, also while
+        it had already crashed.
+    :ivar crashes: number of crashes.
+    :ivar fatal_prefix: prefix of the bodies that crash it.
+    :ivar downtime_seconds: time from a crash to the next start.
+    :ivar run_seconds: time until a request is answered or crashes it.
     """
 
     def __init__(
         self,
         instance: str,
         store: FleetStoreStandin,
-        away_seconds: float = 0.3,
+        downtime_seconds: float = 0.3,
         run_seconds: float = 0.01,
     ) -> None:
         super().__init__(instance)
-        self.crashed: list[str] = []
+        self.fatal_request_ids: list[str] = []
         self.crashes = 0
-        self.away_seconds = away_seconds
+        self.downtime_seconds = downtime_seconds
         self.run_seconds = run_seconds
-        self.fatal = FATAL
+        self.fatal_prefix = FATAL
         self._store = store
         self._starts = 0
         self._restarts: set[asyncio.Task[None]] = set()
 
     async def start(self) -> None:
-        """Listen, and write the entry of this start."""
+        """Listen and write the entry of this start."""
         if self._starts:
             limits = HttpLimits(idle_seconds=3600)
             self._server = HttpServer(self._handle, limits)
@@ -68,7 +69,7 @@
         self.put_entry()
 
     def put_entry(self, **fields: object) -> None:
-        """Write the entry of the start that runs."""
+        """Write the entry of the current start."""
         entry = make_entry(
             service='plain',
             address=str(self.address),
@@ -79,22 +80,22 @@
         self._store.put('servers', self.instance, entry)
 
     async def crash(self) -> None:
-        """End with every connection, and start again after a while."""
+        """Close all connections and start again after the downtime."""
         await self._server.stop(0)
-        await asyncio.sleep(self.away_seconds)
+        await asyncio.sleep(self.downtime_seconds)
         await self.start()
 
     async def stop(self) -> None:
-        """Stop at once, for good."""
+        """Stop at once without another start."""
         for restart in self._restarts:
             restart.cancel()
         await asyncio.gather(*self._restarts, return_exceptions=True)
         await super().stop()
 
     def begin_crash(self) -> None:
-        """Crash, without waiting for the next start."""
+        """Crash without waiting for the next start."""
         if self._restarts:
-            # It has crashed already, under another request.
+            # Another request has already crashed it.
             return
         self.crashes += 1
         restart = asyncio.create_task(self.crash())
@@ -107,11 +108,11 @@
         head: RequestHead,
         behaviour: Behaviour,
     ) -> None:
-        # The run that was noted last is this one's.
+        # The last recorded run belongs to this request.
         body = self.runs[-1].body
         await asyncio.sleep(self.run_seconds)
-        if body.startswith(self.fatal):
-            self.crashed.append(head.get_header('request-id'))
+        if body.startswith(self.fatal_prefix):
+            self.fatal_request_ids.append(head.get_header('request-id'))
             self.begin_crash()
             raise CallerGone('crashed by a request')
         await super()._run(connection, head, behaviour)
