--- a/src/lifttrestle/internal/fleet/crashes/holds.py
+++ b/src/lifttrestle/internal/fleet/crashes/holds.py
@@ -147,7 +147,7 @@
             self._keep_lost_hold(digest)
             return
         if row.origin is RowOrigin.UNDELETED:
-            # An operator had lifted the hold, so it is not restored.
+            # The hold had been lifted, so it is not restored.
             self._undeleted[digest] = row.version
             self.on_undeleted(digest)
             return
@@ -287,10 +287,10 @@
 
     async def _evict(self) -> None:
         """Remove expired rows, else one of the workspace with most holds."""
-        over = [
+        evicted = [
             digest for digest in self._held if self.get(digest) is None
         ] or [self._choose_evicted()]
-        for digest in over:
+        for digest in evicted:
             try:
                 await self._put(digest, None, self._held[digest].version)
             except (ConditionFailed, PlatformUnavailable) as error:
--- a/src/lifttrestle/internal/fleet/crashes/judgement.py
+++ b/src/lifttrestle/internal/fleet/crashes/judgement.py
@@ -35,8 +35,8 @@
 # after a day from a daily job. After that time the upstreams may have been
 # fixed, so the request may run again.
 HOLD_SECONDS = 86_400.0
-# A held request gets one trial run in the whole fleet, so that a request that
-# was held by mistake is released. If the hold was right, the trial costs
+# A held request gets a trial run, one in the whole fleet, so that a request
+# that was held by mistake is released. If the hold was right, the trial costs
 # another crash with about 20 requests in progress. For a popular request,
 # this many refusals at one router cost as much. Without an early trial, a
 # popular request stayed held in one of 13 seeds of a soak, in which all
