--- a/tests/cover/test_crash_memory.py
+++ b/tests/cover/test_crash_memory.py
@@ -10,20 +10,20 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Tests of what a whole fleet knows of crashes, and at what cost."""
+"""Tests of the replication of crash records and the rows of holds."""
 
 import asyncio
 import unittest
 
 from lifttrestle.internal.fleet.crashes.held_row import build_key
-from lifttrestle.internal.fleet.crashes.holds import build_held
+from lifttrestle.internal.fleet.crashes.holds import build_held_row
 from lifttrestle.internal.fleet.crashes.holds import MAX_HELD
 from lifttrestle.internal.fleet.crashes.judgement import HOLD_SECONDS
 from lifttrestle.internal.fleet.crashes.messages import CrashItem
-from lifttrestle.internal.fleet.crashes.messages import CrashNews
-from lifttrestle.internal.fleet.crashes.telling import COUNTERS
-from lifttrestle.internal.fleet.crashes.telling import MAX_ITEMS
-from lifttrestle.internal.fleet.crashes.telling import TELLS
+from lifttrestle.internal.fleet.crashes.messages import CrashUpdate
+from lifttrestle.internal.fleet.crashes.replicator import MAX_ITEMS
+from lifttrestle.internal.fleet.crashes.replicator import OWNER_COUNT
+from lifttrestle.internal.fleet.crashes.replicator import SEND_COUNT
 from lifttrestle.internal.fleet.state.load_messages import MAX_DATAGRAM_BYTES
 from lifttrestle.internal.fleet.state.load_messages import write_message
 from lifttrestle.internal.fleet.state.roster import FLEET_TABLE
@@ -41,59 +41,61 @@
                 with self.subTest(routers=routers, lost=lost_share):
                     fleet = CrashFleet(routers, lost_share=lost_share)
                     for number in range(3):
-                        self.assertEqual(fleet.count_knowing(DIGEST), 0)
+                        self.assertEqual(fleet.count_holding(DIGEST), 0)
                         fleet.crash(number, number, [DIGEST])
-                        fleet.tell()
-                    known = fleet.count_knowing(DIGEST)
-                    # The row tells those that no message reached.
+                        fleet.send_updates()
+                    known = fleet.count_holding(DIGEST)
+                    # Routers that no message reaches learn of it by the row.
                     self.assertGreaterEqual(known, 0.97 * routers)
 
     def test_crashed_engine_costs_few_messages_however_many_routers(self):
-        # Each of 20 routers had one request at it.
+        # Each of 20 routers has one request in progress at the engine.
         for routers in SIZES[1:]:
             with self.subTest(routers=routers):
                 fleet = CrashFleet(routers)
                 for number in range(20):
                     fleet.crash(number, 0, [DIGEST + number])
-                fleet.tell()
-                self.assertLessEqual(fleet.messages, 20 * COUNTERS * TELLS)
+                fleet.send_updates()
+                self.assertLessEqual(
+                    fleet.messages, 20 * OWNER_COUNT * SEND_COUNT
+                )
 
-    def test_one_that_ended_well_elsewhere_is_not_held(self):
+    def test_request_that_succeeded_elsewhere_is_not_held(self):
         fleet = CrashFleet(82)
-        fleet.memories[81].note_good_end(DIGEST)
+        fleet.trackers[81].note_success(DIGEST)
         for number in range(5):
             fleet.crash(number, number, [DIGEST])
-        fleet.tell()
-        self.assertEqual(fleet.count_knowing(DIGEST), 0)
+        fleet.send_updates()
+        self.assertEqual(fleet.count_holding(DIGEST), 0)
         rows = asyncio.run(self.write_all(fleet))
         self.assertEqual(rows, [])
 
-    def test_good_end_later_clears_it_everywhere(self):
+    def test_later_success_clears_it_everywhere(self):
         fleet = CrashFleet(82)
         for number in range(3):
             fleet.crash(number, number, [DIGEST])
-        fleet.tell()
-        self.assertEqual(fleet.count_knowing(DIGEST), 82)
-        # It was under way when the others crashed.
-        fleet.memories[81].note_good_end(DIGEST)
-        fleet.tell()
-        self.assertEqual(fleet.count_knowing(DIGEST), 0)
+        fleet.send_updates()
+        self.assertEqual(fleet.count_holding(DIGEST), 82)
+        # This run was in progress while the other upstreams crashed.
+        fleet.trackers[81].note_success(DIGEST)
+        fleet.send_updates()
+        self.assertEqual(fleet.count_holding(DIGEST), 0)
 
     def test_few_routers_write_the_row(self):
         fleet = CrashFleet(195)
         for number in range(3):
             fleet.crash(number, number, [DIGEST])
-            fleet.tell()
-        writers = [item for item in fleet.memories if item.holds._due]
-        self.assertLessEqual(len(writers), 3 + COUNTERS)
+            fleet.send_updates()
+        writers = [item for item in fleet.trackers if item.holds._due]
+        self.assertLessEqual(len(writers), 3 + OWNER_COUNT)
         rows = asyncio.run(self.write_all(fleet))
         self.assertEqual(rows, [build_key(DIGEST)])
 
     async def write_all(self, fleet):
-        """Have each router write what is due; return the rows' keys."""
+        """Run the due writes of each router; return the keys of the rows."""
         fleet.clock.advance(2.0)
-        for memory in fleet.memories:
-            await memory.holds.write_due()
+        for tracker in fleet.trackers:
+            await tracker.holds.write_due()
         return [
             row.key for row in (await fleet.rows.read_table(FLEET_TABLE)).rows
         ]
@@ -101,33 +103,33 @@
     def test_message_fits_a_datagram(self):
         starts = list(range(2**32 - 64, 2**32))
         item = CrashItem(2**64 - 1, starts[:8], starts[8:16], True)
-        news = CrashNews('front-bkk-lakkrabang-12', [item] * MAX_ITEMS)
-        self.assertLess(len(write_message(news)), MAX_DATAGRAM_BYTES)
+        update = CrashUpdate('front-bkk-lakkrabang-12', [item] * MAX_ITEMS)
+        self.assertLess(len(write_message(update)), MAX_DATAGRAM_BYTES)
 
 
 class TestRows(unittest.TestCase):
     def setUp(self):
         self.fleet = CrashFleet(1, upstreams=12)
-        self.holds = self.fleet.memories[0].holds
+        self.holds = self.fleet.trackers[0].holds
 
     def hold(self, digest, workspace='acme'):
-        row = build_held(self.fleet.clock, workspace, 'safe', 3, 'r0')
-        self.holds.write_later(digest, 0.0, row)
+        row = build_held_row(self.fleet.clock, workspace, 'safe', 3, 'r0')
+        self.holds.schedule_write(digest, 0.0, row)
         asyncio.run(self.holds.write_due())
 
     def test_hold_ends_some_time_and_can_begin_anew(self):
         self.hold(DIGEST)
-        self.assertTrue(self.fleet.memories[0].is_held(DIGEST))
+        self.assertTrue(self.fleet.trackers[0].is_held(DIGEST))
         self.fleet.clock.advance(HOLD_SECONDS + 1)
-        self.assertFalse(self.fleet.memories[0].is_held(DIGEST))
+        self.assertFalse(self.fleet.trackers[0].is_held(DIGEST))
         for upstream in range(3):
             self.fleet.crash(0, upstream, [DIGEST])
         self.fleet.clock.advance(1.0)
         asyncio.run(self.holds.write_due())
         self.assertIsNotNone(self.holds.get(DIGEST))
 
-    def test_rows_are_bounded_and_make_place_for_their_own_caller(self):
-        self.holds.is_wanted = lambda digest: True
+    def test_rows_are_bounded_and_evicted_within_their_workspace(self):
+        self.holds.must_hold = lambda digest: True
         self.hold(1, 'vault')
         for number in range(MAX_HELD + 5):
             self.fleet.clock.advance(0.01)
@@ -146,7 +148,7 @@
             return await write_row(write)
 
         self.fleet.rows.write_row = note
-        self.holds.is_wanted = lambda digest: True
+        self.holds.must_hold = lambda digest: True
         self.hold(DIGEST)
         for _ in range(100):
             self.fleet.clock.advance(0.1)
@@ -159,7 +161,7 @@
 
     def test_row_whose_answer_was_lost_is_not_written_twice(self):
         self.fleet.rows.lose_answers = True
-        self.holds.is_wanted = lambda digest: True
+        self.holds.must_hold = lambda digest: True
         self.hold(DIGEST)
         self.fleet.rows.lose_answers = False
         version = self.fleet.rows.version
@@ -177,5 +179,5 @@
             (build_key(DIGEST), b'{"workspace": 7}'),
         ):
             with self.subTest(key=key, value=value[:20]):
-                self.holds.take(VersionedRow(key, value, 1))
+                self.holds.apply_row(VersionedRow(key, value, 1))
                 self.assertEqual(len(self.holds), 0)
--- a/tests/cover/test_loss_watch.py
+++ b/tests/cover/test_loss_watch.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Tests of whether an upstream that broke off an answer has crashed."""
+"""Tests of the detection of crashes after aborted answers."""
 
 import msgspec
 
@@ -31,8 +31,10 @@
         self.watch = LossWatch(self.clock, HEARTBEAT)
         self.crashed = []
         self.sound = []
-        self.watch.tell_crashed = lambda digest, _: self.crashed.append(digest)
-        self.watch.tell_sound = lambda digest, _: self.sound.append(digest)
+        self.watch.on_crashed = lambda digest, _: self.crashed.append(digest)
+        self.watch.on_crash_retracted = lambda digest, _: self.sound.append(
+            digest
+        )
         self.directory.tell_ended = self.watch.note_ended
         self.list('p1')
         self.upstream = self.directory.get('p1')
@@ -44,14 +46,14 @@
     def lose(self, digest=DIGEST):
         self.watch.note_lost(digest, self.upstream)
 
-    def look(self, seconds):
+    def sweep(self, seconds):
         self.clock.advance(seconds)
-        self.watch.look(lambda start: self.directory.get_start(start))
+        self.watch.sweep(lambda start: self.directory.get_start(start))
 
     def test_lost_connection_alone_is_no_crash(self):
         self.lose()
         self.assertTrue(self.upstream.reach.is_due(self.clock.monotonic()))
-        self.look(60.0)
+        self.sweep(60.0)
         self.assertEqual(self.crashed, [])
 
     def test_closed_port_is_a_crash(self):
@@ -72,7 +74,7 @@
 
     def test_newer_start_under_its_name_is_a_crash(self):
         self.lose()
-        # The next start listens at the same address already.
+        # The next start already listens at the same address.
         self.watch.note_probed(self.upstream.start, True, False)
         self.list('p1', BORN + 500)
         self.assertEqual(self.crashed, [DIGEST])
@@ -83,7 +85,8 @@
         self.assertEqual(self.crashed, [DIGEST])
 
     def test_entry_that_ends_after_it_took_a_connection_is_none(self):
-        # It may leave without a word, and something else broke the answer.
+        # The upstream may stop without notice, and the answer may have been
+        # aborted for another reason.
         self.lose()
         self.watch.note_probed(self.upstream.start, True, False)
         self.take('p1', None)
@@ -104,7 +107,7 @@
         now = self.clock.monotonic()
         self.lose()
         self.clock.advance(0.1)
-        # Sent before, and read late.
+        # The request was sent before the loss and its answer read after it.
         self.watch.note_answered(self.upstream, now - 0.1)
         self.watch.note_probed(self.upstream.start, False, True)
         self.assertEqual((self.crashed, self.sound), ([DIGEST], []))
@@ -114,18 +117,18 @@
     def test_cut_that_refuses_connections_is_taken_back(self):
         self.lose()
         self.watch.note_probed(self.upstream.start, False, True)
-        self.look(60.0)
+        self.sweep(60.0)
         self.assertEqual(self.sound, [DIGEST])
 
     def test_nothing_is_taken_back_while_the_list_is_not_current(self):
         self.watch.is_list_current = lambda: False
         self.lose()
         self.watch.note_probed(self.upstream.start, False, True)
-        self.look(60.0)
+        self.sweep(60.0)
         self.assertEqual(self.sound, [])
         self.watch.is_list_current = lambda: True
         self.take('p1', None)
-        self.look(1.0)
+        self.sweep(1.0)
         self.assertEqual(self.sound, [])
 
     def test_all_that_it_had_under_way_is_told_of(self):
--- a/tests/support/crash_fleet.py
+++ b/tests/support/crash_fleet.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Many routers that tell each other of crashes, without sockets."""
+"""A fleet of routers that exchange crash records without sockets."""
 
 import datetime
 import random
@@ -18,10 +18,10 @@
 import msgspec
 
 from lifttrestle.internal.clock.manual import ManualClock
-from lifttrestle.internal.fleet.crashes.loss_watch import StartSign
-from lifttrestle.internal.fleet.crashes.memory import CrashMemory
-from lifttrestle.internal.fleet.crashes.memory import RequestOrigin
-from lifttrestle.internal.fleet.crashes.telling import TELLS
+from lifttrestle.internal.fleet.crashes.loss_watch import StartEvidence
+from lifttrestle.internal.fleet.crashes.replicator import SEND_COUNT
+from lifttrestle.internal.fleet.crashes.tracker import CrashTracker
+from lifttrestle.internal.fleet.crashes.tracker import RequestOrigin
 from lifttrestle.internal.fleet.state.directory import UpstreamDirectory
 from lifttrestle.internal.fleet.state.load_messages import read_message
 from lifttrestle.internal.fleet.state.load_messages import write_message
@@ -38,10 +38,11 @@
 
 
 class CrashFleet:
-    """Routers with one directory each, and the messages between them.
+    """Routers with one directory each, connected by lossy messages.
 
-    :param lost_share: of the messages that get lost.
-    :ivar messages: that were sent, and their bytes.
+    :param lost_share: share of the messages that are lost.
+    :ivar messages: number of sent messages.
+    :ivar bytes: total size of the sent messages.
     """
 
     def __init__(
@@ -54,7 +55,7 @@
         self._lost_share = lost_share
         self._source = random.Random(1)
         self.directories: list[UpstreamDirectory] = []
-        self.memories: list[CrashMemory] = []
+        self.trackers: list[CrashTracker] = []
         names = [f'router/r{number}' for number in range(routers)]
         for number in range(routers):
             directory = UpstreamDirectory(PlatformFormat(), self.clock)
@@ -69,36 +70,36 @@
             for name in names:
                 row = msgspec.json.encode(RouterRow('a', '127.0.0.1:9'))
                 roster.take(VersionedRow(name, row, 1))
-            memory = CrashMemory(
+            tracker = CrashTracker(
                 f'r{number}', self.rows, directory, roster, self.clock, 1.2
             )
-            memory.telling.send = self._send
+            tracker.replicator.send = self._send
             self.directories.append(directory)
-            self.memories.append(memory)
+            self.trackers.append(tracker)
 
-    def _send(self, news, key) -> None:
-        data = write_message(news)
+    def _send(self, update, key) -> None:
+        data = write_message(update)
         self.messages += 1
         self.bytes += len(data)
         if self._source.random() < self._lost_share:
             return
         number = int(key.removeprefix('router/r'))
-        self.memories[number].take_news(read_message(data))
+        self.trackers[number].handle_update(read_message(data))
 
     def crash(self, router: int, upstream: int, digests: list[int]) -> None:
-        """Have an upstream crash under what one router has there."""
-        memory = self.memories[router]
+        """Crash an upstream under requests of one router."""
+        tracker = self.trackers[router]
         known = self.directories[router].get(f'p{upstream}')
         for digest in digests:
-            memory.note_lost(digest, ORIGIN, known)
-        memory.losses.note_sign(known.start, StartSign.REFUSED)
+            tracker.note_lost(digest, ORIGIN, known)
+        tracker.losses.note_evidence(known.start, StartEvidence.REFUSED)
 
-    def tell(self) -> None:
-        """Tell all that is new, as often as it is told."""
-        for _ in range(TELLS):
-            for memory in self.memories:
-                memory.telling.tell_waiting()
+    def send_updates(self) -> None:
+        """Send all pending updates, with all their repetitions."""
+        for _ in range(SEND_COUNT):
+            for tracker in self.trackers:
+                tracker.replicator.send_pending()
 
-    def count_knowing(self, digest: int) -> int:
-        """Return how many routers hold a request."""
-        return sum(memory.is_held(digest) for memory in self.memories)
+    def count_holding(self, digest: int) -> int:
+        """Return the number of routers that hold a request."""
+        return sum(tracker.is_held(digest) for tracker in self.trackers)
