--- a/src/lifttrestle/internal/cli/limits.py
+++ b/src/lifttrestle/internal/cli/limits.py
@@ -20,7 +20,7 @@
 from lifttrestle.internal.cli.tables import print_rows
 from lifttrestle.internal.clock.system import SystemClock
 from lifttrestle.internal.fleet.limits.listing import ListedLimit
-from lifttrestle.internal.fleet.path.doors import LIMITS_PATH
+from lifttrestle.internal.fleet.path.handlers import LIMITS_PATH
 from lifttrestle.internal.http.address import Address
 from lifttrestle.internal.http.address import check_address
 from lifttrestle.internal.http.json_client import JsonClient
--- a/src/lifttrestle/internal/fleet/path/request_context.py
+++ b/src/lifttrestle/internal/fleet/path/request_context.py
@@ -19,9 +19,9 @@
 from lifttrestle.internal.exchange.progress import RequestState
 from lifttrestle.internal.fleet.crashes.held_row import name_request
 from lifttrestle.internal.fleet.parts import FleetParts
+from lifttrestle.internal.fleet.path.decision_log import build_usage
+from lifttrestle.internal.fleet.path.decision_log import RequestStory
 from lifttrestle.internal.fleet.path.dialect import RequestFacts
-from lifttrestle.internal.fleet.path.story import build_usage
-from lifttrestle.internal.fleet.path.story import RequestStory
 from lifttrestle.internal.fleet.policy.admission import admit
 from lifttrestle.internal.fleet.policy.admission import Admitted
 from lifttrestle.internal.fleet.policy.stopping import may_end_in_time
--- a/src/lifttrestle/internal/fleet/path/sending.py
+++ b/src/lifttrestle/internal/fleet/path/sending.py
@@ -13,15 +13,15 @@
 """Sends a request to its upstream and learns from how the answer begins."""
 
 from lifttrestle.internal.exchange.progress import RequestEvent
-from lifttrestle.internal.fleet.path.answer_passing import AnswerPassing
-from lifttrestle.internal.fleet.path.answer_passing import Patience
+from lifttrestle.internal.fleet.path.answer_forwarding import AnswerPassing
+from lifttrestle.internal.fleet.path.answer_forwarding import Patience
 from lifttrestle.internal.fleet.path.attempt import begin_attempt
 from lifttrestle.internal.fleet.path.attempt import UpstreamAnswer
 from lifttrestle.internal.fleet.path.candidates import Candidates
+from lifttrestle.internal.fleet.path.decision_log import build_answered
 from lifttrestle.internal.fleet.path.dialect import UpstreamOrder
 from lifttrestle.internal.fleet.path.order_building import build_order
 from lifttrestle.internal.fleet.path.request_context import RequestContext
-from lifttrestle.internal.fleet.path.story import build_answered
 from lifttrestle.internal.fleet.policy.admission import get_urgency
 from lifttrestle.internal.fleet.policy.placement import Placement
 from lifttrestle.internal.fleet.state.upstream import FleetUpstream
--- a/src/lifttrestle/internal/fleet/path/upstream_search.py
+++ b/src/lifttrestle/internal/fleet/path/upstream_search.py
@@ -16,8 +16,8 @@
 
 from lifttrestle.errors import RequestRefused
 from lifttrestle.internal.fleet.path.candidates import Candidates
+from lifttrestle.internal.fleet.path.decision_log import build_permit
 from lifttrestle.internal.fleet.path.request_context import RequestContext
-from lifttrestle.internal.fleet.path.story import build_permit
 from lifttrestle.internal.fleet.policy.placement import Placement
 from lifttrestle.internal.fleet.policy.shedding import find_hold_end
 from lifttrestle.internal.fleet.policy.shedding import judge_wait
--- a/src/lifttrestle/internal/fleet/process.py
+++ b/src/lifttrestle/internal/fleet/process.py
@@ -33,9 +33,9 @@
 from lifttrestle.internal.fleet.loads.weights_loader import WeightsLoader
 from lifttrestle.internal.fleet.parts import FleetParts
 from lifttrestle.internal.fleet.path.dialect import RequestDialect
-from lifttrestle.internal.fleet.path.doors import CallersDoor
-from lifttrestle.internal.fleet.path.doors import MetricsDoor
-from lifttrestle.internal.fleet.path.doors import ReadyDoor
+from lifttrestle.internal.fleet.path.handlers import CallersDoor
+from lifttrestle.internal.fleet.path.handlers import MetricsDoor
+from lifttrestle.internal.fleet.path.handlers import ReadyDoor
 from lifttrestle.internal.fleet.policy.cache_sources import CacheSources
 from lifttrestle.internal.fleet.policy.retry_budget import SharedRetryBudget
 from lifttrestle.internal.fleet.policy.usage_caps import UsageCap
