--- a/src/lifttrestle/internal/fleet/path/answer_forwarding.py
+++ b/src/lifttrestle/internal/fleet/path/answer_forwarding.py
@@ -97,7 +97,7 @@
     ) -> None:
         parts = self._parts
         headers = parts.dialect.select_answer_headers(answer.head)
-        self.relay.begin_run(answer.facts.status, headers)
+        self.relay.begin_stream(answer.facts.status, headers)
         self._progress.move(RequestEvent.ANSWER)
         while True:
             data = await await_sound(
--- a/src/lifttrestle/internal/fleet/path/attempt.py
+++ b/src/lifttrestle/internal/fleet/path/attempt.py
@@ -185,7 +185,7 @@
     """Return whether an answer tells of the upstream that was meant."""
     if facts.other_instance or facts.instance not in ('', upstream.instance):
         return False
-    own = facts.proved and facts.request_id == request_id
+    own = facts.verified and facts.request_id == request_id
     return own or facts.not_run
 
 
@@ -200,7 +200,7 @@
 def _check(
     upstream: FleetUpstream, facts: AnswerFacts, request_id: str
 ) -> None:
-    if not facts.proved or facts.request_id != request_id:
+    if not facts.verified or facts.request_id != request_id:
         raise WrongAnswer(
             f'{upstream.instance} gave an answer {facts.status} without its'
             ' mark or for another request'
--- a/src/lifttrestle/internal/fleet/path/decision_log.py
+++ b/src/lifttrestle/internal/fleet/path/decision_log.py
@@ -45,7 +45,7 @@
     fields: dict[str, object]
 
 
-class RequestStory:
+class DecisionLog:
     """Collects the steps of one request."""
 
     def __init__(self, clock: Clock, request_id: str) -> None:
@@ -60,7 +60,7 @@
             after = self._clock.monotonic() - self._started
             self._steps.append(Step(name, after, fields))
 
-    def tell(self, outcome: str, *, failed: bool, **fields: object) -> None:
+    def write(self, outcome: str, *, failed: bool, **fields: object) -> None:
         """Write the story.
 
         :param failed: write it whole, whatever the rate.
--- a/src/lifttrestle/internal/fleet/path/dialect.py
+++ b/src/lifttrestle/internal/fleet/path/dialect.py
@@ -135,7 +135,7 @@
     """
 
     status: int
-    proved: bool
+    verified: bool
     request_id: str
     not_run: bool
     other_instance: bool
--- a/src/lifttrestle/internal/fleet/path/event_relay.py
+++ b/src/lifttrestle/internal/fleet/path/event_relay.py
@@ -43,7 +43,7 @@
         self._status = 0
         self._headers: tuple[Header, ...] = ()
 
-    def begin_run(self, status: int, headers: tuple[Header, ...]) -> None:
+    def begin_stream(self, status: int, headers: tuple[Header, ...]) -> None:
         """Expect the events of a run; the first run's head is the one sent."""
         self._held = b''
         if not self.started:
--- a/src/lifttrestle/internal/fleet/path/exchange.py
+++ b/src/lifttrestle/internal/fleet/path/exchange.py
@@ -35,8 +35,8 @@
 from lifttrestle.internal.fleet.path.candidates import Candidates
 from lifttrestle.internal.fleet.path.decision_log import build_admitted
 from lifttrestle.internal.fleet.path.decision_log import build_chosen
+from lifttrestle.internal.fleet.path.decision_log import DecisionLog
 from lifttrestle.internal.fleet.path.decision_log import MILLISECONDS
-from lifttrestle.internal.fleet.path.decision_log import RequestStory
 from lifttrestle.internal.fleet.path.dialect import RequestFacts
 from lifttrestle.internal.fleet.path.request_context import begin_request
 from lifttrestle.internal.fleet.path.request_context import RequestContext
@@ -77,7 +77,7 @@
         self._body = b''
         self._started = parts.clock.monotonic()
         self._progress = RequestProgress()
-        self._story = RequestStory(parts.clock, facts.request_id)
+        self._story = DecisionLog(parts.clock, facts.request_id)
         self._passing = AnswerPassing(
             parts, connection, self._progress, facts.last_event
         )
@@ -116,7 +116,7 @@
             if self._request is not None and self._request.charge is not None:
                 self._request.charge.settle()
             service = self._request.service if self._request else ''
-            self._story.tell(
+            self._story.write(
                 outcome,
                 failed=failed,
                 service=service,
--- a/src/lifttrestle/internal/fleet/path/handlers.py
+++ b/src/lifttrestle/internal/fleet/path/handlers.py
@@ -40,7 +40,7 @@
 LIMITS_PATH = '/limits'
 
 
-class CallersDoor:
+class RequestHandler:
     """Hands each caller's request to an exchange of its own."""
 
     def __init__(self, parts: FleetParts) -> None:
@@ -84,7 +84,7 @@
         )
 
 
-class ReadyDoor:
+class ReadinessHandler:
     """Says whether new connections are welcome."""
 
     def __init__(
@@ -111,7 +111,7 @@
         )
 
 
-class MetricsDoor:
+class MetricsHandler:
     """Serves the limits in force as JSON, and the metrics at other paths."""
 
     def __init__(
--- a/src/lifttrestle/internal/fleet/path/request_context.py
+++ b/src/lifttrestle/internal/fleet/path/request_context.py
@@ -20,7 +20,7 @@
 from lifttrestle.internal.fleet.crashes.held_row import name_request
 from lifttrestle.internal.fleet.parts import FleetParts
 from lifttrestle.internal.fleet.path.decision_log import build_usage
-from lifttrestle.internal.fleet.path.decision_log import RequestStory
+from lifttrestle.internal.fleet.path.decision_log import DecisionLog
 from lifttrestle.internal.fleet.path.dialect import RequestFacts
 from lifttrestle.internal.fleet.policy.admission import admit
 from lifttrestle.internal.fleet.policy.admission import Admitted
@@ -60,7 +60,7 @@
     parts: FleetParts
     facts: RequestFacts
     admitted: Admitted
-    story: RequestStory
+    story: DecisionLog
     progress: RequestProgress
     started: float
     deadline: float
@@ -219,7 +219,7 @@
 def begin_request(
     parts: FleetParts,
     facts: RequestFacts,
-    story: RequestStory,
+    story: DecisionLog,
     progress: RequestProgress,
     started: float,
 ) -> RequestContext:
--- a/src/lifttrestle/internal/fleet/process.py
+++ b/src/lifttrestle/internal/fleet/process.py
@@ -33,9 +33,9 @@
 from lifttrestle.internal.fleet.loads.weights_loader import WeightsLoader
 from lifttrestle.internal.fleet.parts import FleetParts
 from lifttrestle.internal.fleet.path.dialect import RequestDialect
-from lifttrestle.internal.fleet.path.handlers import CallersDoor
-from lifttrestle.internal.fleet.path.handlers import MetricsDoor
-from lifttrestle.internal.fleet.path.handlers import ReadyDoor
+from lifttrestle.internal.fleet.path.handlers import MetricsHandler
+from lifttrestle.internal.fleet.path.handlers import ReadinessHandler
+from lifttrestle.internal.fleet.path.handlers import RequestHandler
 from lifttrestle.internal.fleet.policy.cache_sources import CacheSources
 from lifttrestle.internal.fleet.policy.retry_budget import SharedRetryBudget
 from lifttrestle.internal.fleet.policy.usage_caps import UsageCap
@@ -240,14 +240,14 @@
         self.relays = RelayFollower(watches, self.roster, clock)
         # A router that does not know yet what is held would run it, and one
         # that knows no limits would send what upstreams do not take.
-        self._ready = ReadyDoor(
+        self._ready = ReadinessHandler(
             self._parts,
             lambda: (
                 self._routers_watch.copy.loaded and self.limits.is_settled()
             ),
         )
         self._callers = HttpServer(
-            CallersDoor(self._parts).handle, _make_limits(None)
+            RequestHandler(self._parts).handle, _make_limits(None)
         )
         watch_parts(
             self._parts.metrics,
@@ -265,7 +265,7 @@
         )
         self._probes = HttpServer(self._ready.handle, _make_limits(None))
         self._metrics = HttpServer(
-            MetricsDoor(metrics, self.limits, clock).handle,
+            MetricsHandler(metrics, self.limits, clock).handle,
             _make_limits(None),
         )
 
--- a/src/lifttrestle/internal/platform/request_dialect.py
+++ b/src/lifttrestle/internal/platform/request_dialect.py
@@ -96,7 +96,7 @@
         encoding = head.get_header('content-encoding', IDENTITY)
         return AnswerFacts(
             status=head.status,
-            proved=bool(head.get_header(names.STAMP)),
+            verified=bool(head.get_header(names.STAMP)),
             request_id=head.get_header(names.REQUEST_ID),
             not_run=bool(head.get_header(names.NOT_RUN)),
             other_instance=head.status == names.STATUS_OTHER_INSTANCE,
--- a/tests/cover/test_event_log.py
+++ b/tests/cover/test_event_log.py
@@ -26,7 +26,7 @@
 
 from lifttrestle.internal.clock.beat import Beat
 from lifttrestle.internal.clock.manual import ManualClock
-from lifttrestle.internal.fleet.path.decision_log import RequestStory
+from lifttrestle.internal.fleet.path.decision_log import DecisionLog
 from lifttrestle.internal.telemetry.event_log import get_event_log
 from lifttrestle.internal.telemetry.event_sink import BURST
 from lifttrestle.internal.telemetry.event_sink import COLLECT_SECONDS
@@ -126,12 +126,12 @@
         stream = self.open_stream()
         sink = self.open_sink(stream)
         for number in range(int(BURST) + OVER):
-            story = RequestStory(self.clock, f'good-{number}')
-            story.tell('complete', failed=False)
-        story = RequestStory(self.clock, 'bad')
+            story = DecisionLog(self.clock, f'good-{number}')
+            story.write('complete', failed=False)
+        story = DecisionLog(self.clock, 'bad')
         story.add('sent', instance='p1')
         story.add('refused', kind='overloaded')
-        story.tell('overloaded', failed=True)
+        story.write('overloaded', failed=True)
         sink.close()
         told = [
             line['event']
--- a/tests/cover/test_fleet_parts.py
+++ b/tests/cover/test_fleet_parts.py
@@ -93,7 +93,7 @@
     def setUp(self):
         self.connection = FakeConnection()
         self.relay = EventRelay(self.connection, None)
-        self.relay.begin_run(200, ())
+        self.relay.begin_stream(200, ())
 
     async def test_half_an_event_is_held(self):
         await self.relay.feed(b'id: 1\ndata: a\n\nid: 2\nda')
@@ -107,7 +107,7 @@
 
     async def test_next_run_neither_repeats_nor_joins_halves(self):
         await self.relay.feed(b'id: 1\ndata: a\n\nid: 2\nda')
-        self.relay.begin_run(200, ())
+        self.relay.begin_stream(200, ())
         await self.relay.feed(b'id: 1\ndata: a\n\nid: 2\ndata: b\n\n')
         await self.relay.finish()
         expected = b'id: 1\ndata: a\n\nid: 2\ndata: b\n\n'
@@ -132,7 +132,7 @@
 
         connection = FakeConnection()
         relay = EventRelay(connection, None)
-        relay.begin_run(200, ())
+        relay.begin_stream(200, ())
         for number in numbers:
             asyncio.run(relay.feed(f'id: {number}\n\n'.encode()))
         sent = [
--- a/tests/nocover/test_limits_command.py
+++ b/tests/nocover/test_limits_command.py
@@ -22,7 +22,7 @@
 from lifttrestle.internal.cli.main import main
 from lifttrestle.internal.clock.manual import ManualClock
 from lifttrestle.internal.fleet.limits.held_limit import HeldLimit
-from lifttrestle.internal.fleet.path.handlers import MetricsDoor
+from lifttrestle.internal.fleet.path.handlers import MetricsHandler
 from lifttrestle.internal.fleet.policy.limit_belief import LimitSign
 from lifttrestle.internal.fleet.policy.limit_permits import PermitBucket
 from lifttrestle.internal.http.address import Address
@@ -46,7 +46,7 @@
         ended = HeldLimit('p3@17', 3, 'b', recovering=True)
         ended.belief.ended_at = 18.0
         self.limits = [ended, other, given]
-        door = MetricsDoor(FleetMetrics(), self.limits, clock)
+        door = MetricsHandler(FleetMetrics(), self.limits, clock)
         self.loop = asyncio.new_event_loop()
         self.server = HttpServer(door.handle, HttpLimits())
         self.address = self.loop.run_until_complete(
