--- a/src/lifttrestle/internal/fleet/path/answer_forwarding.py
+++ b/src/lifttrestle/internal/fleet/path/answer_forwarding.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Passes an upstream's proved answer on to the caller."""
+"""Forwards the verified answer of an upstream to the caller."""
 
 from collections.abc import Callable
 import dataclasses
@@ -20,11 +20,11 @@
 from lifttrestle.internal.exchange.progress import RequestEvent
 from lifttrestle.internal.exchange.progress import RequestProgress
 from lifttrestle.internal.fleet.parts import FleetParts
-from lifttrestle.internal.fleet.path.attempt import await_sound
-from lifttrestle.internal.fleet.path.attempt import check_served
+from lifttrestle.internal.fleet.path.attempt import raise_for_status
+from lifttrestle.internal.fleet.path.attempt import read_with_timeout
 from lifttrestle.internal.fleet.path.attempt import UpstreamAnswer
 from lifttrestle.internal.fleet.path.event_relay import EventRelay
-from lifttrestle.internal.fleet.path.request_context import PROMISING
+from lifttrestle.internal.fleet.path.request_context import NOT_RUN_STATUSES
 from lifttrestle.internal.fleet.state.catalogue import Route
 from lifttrestle.internal.fleet.state.upstream import FleetUpstream
 from lifttrestle.internal.http.answer import Answer
@@ -35,25 +35,25 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Patience:
-    """How long a silent upstream is waited for.
+class InactivityTimeout:
+    """How long an upstream may send nothing before it is given up.
 
     :ivar seconds: None for no limit.
-    :ivar may_leave: whether another upstream could go on.
+    :ivar can_fail_over: whether another upstream could take the request over.
     """
 
     seconds: float | None
-    may_leave: Callable[[], bool]
+    can_fail_over: Callable[[], bool]
 
 
-class AnswerPassing:
-    """Passes on the answers of one request's attempts.
+class AnswerForwarder:
+    """Forwards the answers to one request, over all its attempts.
 
-    :ivar relay: the events of a stream that the caller has.
-    :ivar longest_pause: seconds between two parts of a stream, over all its
-        attempts; zero before the second part.
-    :ivar failure: the last failure that an upstream answered with, which is
-        the caller's to see if no other attempt succeeds.
+    :ivar relay: forwards the events of a stream and tracks which were sent.
+    :ivar longest_pause: the longest time in seconds between two parts of a
+        stream, over all attempts; zero before the second part.
+    :ivar failure: the last error answer of an upstream, which is sent to the
+        caller if no other attempt succeeds.
     """
 
     def __init__(
@@ -71,40 +71,41 @@
         self.longest_pause = 0.0
         self._part_at: float | None = None
 
-    async def pass_on(
+    async def forward(
         self,
         route: Route,
         upstream: FleetUpstream,
         answer: UpstreamAnswer,
-        patience: Patience,
+        inactivity_timeout: InactivityTimeout,
     ) -> None:
-        """Send an answer, whole or event by event.
+        """Forward an answer, event by event if it is a stream.
 
-        :raises UpstreamLost: if it broke off or fell silent.
-        :raises UpstreamFailed: if it is a failure; it was read to its end.
+        :raises UpstreamLost: if the answer broke off or timed out.
+        :raises UpstreamFailed: if it is an error answer; its body was read
+            completely.
         """
         if route.streams and answer.facts.status == STATUS_OK:
-            await self._pass_events(upstream, answer, patience)
+            await self._forward_events(upstream, answer, inactivity_timeout)
         else:
-            await self._pass_whole(route, upstream, answer)
+            await self._forward_whole(route, upstream, answer)
         self._progress.move(RequestEvent.END)
 
-    async def _pass_events(
+    async def _forward_events(
         self,
         upstream: FleetUpstream,
         answer: UpstreamAnswer,
-        patience: Patience,
+        inactivity_timeout: InactivityTimeout,
     ) -> None:
         parts = self._parts
         headers = parts.dialect.select_answer_headers(answer.head)
         self.relay.begin_stream(answer.facts.status, headers)
         self._progress.move(RequestEvent.ANSWER)
         while True:
-            data = await await_sound(
+            data = await read_with_timeout(
                 parts.clock,
                 upstream,
-                patience.seconds,
-                patience.may_leave,
+                inactivity_timeout.seconds,
+                inactivity_timeout.can_fail_over,
                 answer.connection.read_part,
             )
             if not data:
@@ -115,8 +116,11 @@
             await self.relay.feed(data)
         await self.relay.finish()
 
-    def get_quiet(self, now: float) -> float | None:
-        """Return the seconds since the last part of a stream, None if none."""
+    def get_inactive_seconds(self, now: float) -> float | None:
+        """Return the seconds since the last part of a stream.
+
+        None if no part has been received.
+        """
         return None if self._part_at is None else now - self._part_at
 
     def _note_part(self, now: float) -> None:
@@ -124,19 +128,21 @@
             self.longest_pause = max(self.longest_pause, now - self._part_at)
         self._part_at = now
 
-    async def _pass_whole(
+    async def _forward_whole(
         self, route: Route, upstream: FleetUpstream, answer: UpstreamAnswer
     ) -> None:
         body = await answer.connection.read_body(MAX_ANSWER_BYTES)
         headers = self._parts.dialect.select_answer_headers(answer.head)
         whole = Answer(answer.facts.status, headers, body)
         try:
-            check_served(upstream, answer.facts)
+            raise_for_status(upstream, answer.facts)
         except UpstreamFailed:
-            if whole.status not in PROMISING or route.repeatable:
+            if whole.status not in NOT_RUN_STATUSES or route.repeatable:
                 self.failure = whole
             raise
         if self.relay.started:
-            raise UpstreamLost(f'{upstream.instance} did not go on')
+            raise UpstreamLost(
+                f'{upstream.instance} did not resume the stream'
+            )
         self._progress.move(RequestEvent.ANSWER)
         await self._connection.send_answer(whole)
--- a/src/lifttrestle/internal/fleet/path/attempt.py
+++ b/src/lifttrestle/internal/fleet/path/attempt.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""One exchange with one upstream of the fleet."""
+"""One attempt: a request sent to one upstream, up to its answer's head."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -25,7 +25,7 @@
 from lifttrestle.internal.clock.clock import Clock
 from lifttrestle.internal.fleet.path.dialect import AnswerFacts
 from lifttrestle.internal.fleet.path.dialect import RequestDialect
-from lifttrestle.internal.fleet.path.request_context import PROMISING
+from lifttrestle.internal.fleet.path.request_context import NOT_RUN_STATUSES
 from lifttrestle.internal.fleet.policy.limit_belief import NamedLimit
 from lifttrestle.internal.fleet.state.upstream import FleetUpstream
 from lifttrestle.internal.fleet.state.upstream import SILENT_SECONDS
@@ -36,22 +36,24 @@
 
 LOG = get_event_log('upstreams')
 T = TypeVar('T')
-# Between two looks at an upstream that is silent and can't be left.
-MIN_LOOK_SECONDS = 0.2
+# Shortest interval between checks of an upstream that has timed out while no
+# other upstream can take the request over.
+MIN_POLL_SECONDS = 0.2
 FIRST_SERVER_ERROR = 500
-MAX_FOREIGN_BYTES = 4 * 1024 * 1024
-# The body of an answer that turns a request away comes with its head.
+MAX_DISCARDED_BYTES = 4 * 1024 * 1024
+# The body of an answer that declines a request is expected with its head, so
+# this is short.
 DECLINED_READ_SECONDS = 0.1
-# Kept connections are closed this long before the upstream would do so: a
-# request that crosses its close is lost.
+# Idle connections are closed this long before the upstream would close them: a
+# request sent while the upstream closes the connection is lost.
 IDLE_MARGIN_SECONDS = 0.6
-# Where an upstream names no time, or less than a second.
-SHORT_IDLE_SECONDS = 0.4
+# Used if the upstream announces an idle timeout of less than a second.
+MIN_IDLE_SECONDS = 0.4
 
 
 @dataclasses.dataclass
 class UpstreamAnswer:
-    """An answer whose head proves that it is the right one."""
+    """An answer whose head was verified to belong to the request."""
 
     connection: ClientConnection
     head: ResponseHead
@@ -66,69 +68,78 @@
     head: RequestHead,
     body: bytes,
     request_id: str,
-    patience: float | None,
-    may_leave: Callable[[], bool],
-    note_limit: Callable[[NamedLimit], None],
+    inactivity_seconds: float | None,
+    can_fail_over: Callable[[], bool],
+    on_limit: Callable[[NamedLimit], None],
 ) -> UpstreamAnswer:
-    """Send a request and return the answer once its head is proved.
+    """Send a request and return its answer once the head is verified.
 
-    :param patience: and ``may_leave`` as for ``await_sound``.
-    :param note_limit: is told what the upstream says of its limit.
-    :raises UpstreamLost: if there is none; the request may have run.
+    :param inactivity_seconds: and ``can_fail_over`` as for
+        ``read_with_timeout``.
+    :param on_limit: is called with the rate limit that the upstream announced.
+    :raises UpstreamLost: if no answer came; the request may have run.
     :raises UpstreamDeclined: if the upstream did not run the request.
-    :raises WrongAnswer: if what came is not the upstream's answer.
+    :raises WrongAnswer: if the answer can't be verified as the upstream's
+        answer to this request.
     """
     await connection.send_request(head, body)
-    answer = await await_sound(
+    answer = await read_with_timeout(
         clock,
         upstream,
-        patience,
-        may_leave,
-        lambda: _read_own_head(dialect, connection, request_id),
+        inactivity_seconds,
+        can_fail_over,
+        lambda: _read_matching_head(dialect, connection, request_id),
     )
-    _learn(upstream, answer.facts)
-    if _speaks_for(upstream, answer.facts, request_id):
-        note_limit(answer.facts.limit)
+    _update_idle_timeout(upstream, answer.facts)
+    if _is_from_upstream(upstream, answer.facts, request_id):
+        on_limit(answer.facts.limit)
     if answer.facts.not_run or answer.facts.other_instance:
-        await _finish_declined(connection)
-        _note_other_start(upstream, answer.facts)
+        await _drain_declined_answer(connection)
+        _mark_misdirected(upstream, answer.facts)
         raise UpstreamDeclined(
             f'{upstream.instance} answered {answer.facts.status} and did not'
-            ' run it'
+            ' run the request'
         )
-    _check(upstream, answer.facts, request_id)
+    _verify_answer(upstream, answer.facts, request_id)
     return answer
 
 
-async def await_sound(
+async def read_with_timeout(
     clock: Clock,
     upstream: FleetUpstream,
-    patience: float | None,
-    may_leave: Callable[[], bool],
+    inactivity_seconds: float | None,
+    can_fail_over: Callable[[], bool],
     read: Callable[[], Awaitable[T]],
 ) -> T:
-    """Return what ``read`` returns, unless the upstream falls silent.
+    """Return what ``read`` returns, unless the upstream becomes inactive.
 
-    One that takes no connections either is given up sooner.
+    An upstream that accepts no new connections either is given up sooner.
 
-    :param patience: seconds for which an upstream may send nothing, on this
-        or any other connection, until it is given up; None for no limit.
+    :param inactivity_seconds: how long an upstream may send nothing, on this
+        or any other connection, before it is given up; None for no limit.
+    :param can_fail_over: whether another upstream could take the request
+        over; while it returns false, the upstream is not given up.
     :param read: may be cancelled and called again.
-    :raises UpstreamLost: if it is given up.
+    :raises UpstreamLost: if the upstream is given up.
     """
-    if patience is None:
+    if inactivity_seconds is None:
         return await read()
     began = clock.monotonic()
     while True:
-        silent = clock.monotonic() - max(upstream.heard_at, began)
-        gone = upstream.reach.unreached and silent >= SILENT_SECONDS
-        if (gone or silent >= patience) and may_leave():
+        silent_seconds = clock.monotonic() - max(upstream.heard_at, began)
+        unreachable = (
+            upstream.reach.unreached and silent_seconds >= SILENT_SECONDS
+        )
+        if (
+            unreachable or silent_seconds >= inactivity_seconds
+        ) and can_fail_over():
             raise UpstreamLost(
-                f'{upstream.instance} sent nothing for {silent:.2f} s'
+                f'{upstream.instance} sent nothing for {silent_seconds:.2f} s'
             )
         try:
             pause = max(
-                min(patience - silent, SILENT_SECONDS), MIN_LOOK_SECONDS
+                min(inactivity_seconds - silent_seconds, SILENT_SECONDS),
+                MIN_POLL_SECONDS,
             )
             async with asyncio.timeout(pause):
                 return await read()
@@ -136,16 +147,16 @@
             continue
 
 
-def check_served(upstream: FleetUpstream, facts: AnswerFacts) -> None:
-    """Refuse an answer by which the upstream says that it failed.
+def raise_for_status(upstream: FleetUpstream, facts: AnswerFacts) -> None:
+    """Raise an error if the status of an answer reports a failure.
 
-    :raises UpstreamFailed: for a failure of its own; it ran the request.
+    :raises UpstreamFailed: if it does; the upstream ran the request.
     """
-    if facts.status >= FIRST_SERVER_ERROR or facts.status in PROMISING:
+    if facts.status >= FIRST_SERVER_ERROR or facts.status in NOT_RUN_STATUSES:
         raise UpstreamFailed(f'{upstream.instance} answered {facts.status}')
 
 
-async def _read_own_head(
+async def _read_matching_head(
     dialect: RequestDialect, connection: ClientConnection, request_id: str
 ) -> UpstreamAnswer:
     while True:
@@ -153,22 +164,22 @@
         facts = dialect.read_answer(head)
         if not facts.request_id or facts.request_id == request_id:
             return UpstreamAnswer(connection, head, facts)
-        # A second answer to an earlier request on this connection.
-        await connection.skip_answer(MAX_FOREIGN_BYTES)
+        # A duplicate answer to an earlier request on this connection.
+        await connection.skip_answer(MAX_DISCARDED_BYTES)
 
 
-async def _finish_declined(connection: ClientConnection) -> None:
-    """Read the rest, so that the connection can be used again."""
+async def _drain_declined_answer(connection: ClientConnection) -> None:
+    """Read the rest of the answer so that the connection can be reused."""
     try:
         async with asyncio.timeout(DECLINED_READ_SECONDS):
-            await connection.read_body(MAX_FOREIGN_BYTES)
+            await connection.read_body(MAX_DISCARDED_BYTES)
     except (UpstreamLost, TimeoutError):
-        # What was said stands; the connection is of no more use.
+        # The request remains declined; only the connection can't be reused.
         connection.close()
 
 
-def _note_other_start(upstream: FleetUpstream, facts: AnswerFacts) -> None:
-    """Send nothing more to a start whose address another one has."""
+def _mark_misdirected(upstream: FleetUpstream, facts: AnswerFacts) -> None:
+    """Stop using an instance if another one answers at its address."""
     if facts.instance in ('', upstream.instance) or upstream.misdirected:
         return
     upstream.misdirected = True
@@ -179,31 +190,31 @@
     )
 
 
-def _speaks_for(
+def _is_from_upstream(
     upstream: FleetUpstream, facts: AnswerFacts, request_id: str
 ) -> bool:
-    """Return whether an answer tells of the upstream that was meant."""
+    """Return whether an answer came from the intended upstream."""
     if facts.other_instance or facts.instance not in ('', upstream.instance):
         return False
     own = facts.verified and facts.request_id == request_id
     return own or facts.not_run
 
 
-def _learn(upstream: FleetUpstream, facts: AnswerFacts) -> None:
+def _update_idle_timeout(upstream: FleetUpstream, facts: AnswerFacts) -> None:
     idle = facts.idle_seconds
     if idle is not None:
         upstream.pool.idle_seconds = max(
-            idle - IDLE_MARGIN_SECONDS, SHORT_IDLE_SECONDS
+            idle - IDLE_MARGIN_SECONDS, MIN_IDLE_SECONDS
         )
 
 
-def _check(
+def _verify_answer(
     upstream: FleetUpstream, facts: AnswerFacts, request_id: str
 ) -> None:
     if not facts.verified or facts.request_id != request_id:
         raise WrongAnswer(
-            f'{upstream.instance} gave an answer {facts.status} without its'
-            ' mark or for another request'
+            f'{upstream.instance} sent an answer {facts.status} without its'
+            ' stamp or for another request'
         )
     if facts.encoded:
-        raise WrongAnswer(f'{upstream.instance} gave an encoded body')
+        raise WrongAnswer(f'{upstream.instance} sent an encoded body')
--- a/src/lifttrestle/internal/fleet/path/candidates.py
+++ b/src/lifttrestle/internal/fleet/path/candidates.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Which upstreams may serve one request now, and the best of them."""
+"""Selects the upstream for a request among those that may serve it now."""
 
 from lifttrestle.internal.fleet.parts import FleetParts
 from lifttrestle.internal.fleet.path.dialect import RequestFacts
@@ -25,7 +25,7 @@
 from lifttrestle.internal.fleet.policy.weights_fit import select_engines
 from lifttrestle.internal.fleet.state.upstream import FleetUpstream
 
-FOR_EVER = float('inf')
+FOREVER = float('inf')
 
 
 def _get_slots(admitted: Admitted, service: str) -> int:
@@ -36,28 +36,27 @@
 
 
 class Candidates:
-    """The upstreams of one request, without those that have failed it."""
+    """The upstreams for one request, except those excluded after a failure."""
 
     def __init__(self, parts: FleetParts, facts: RequestFacts) -> None:
         self._parts = parts
         self._facts = facts
-        # Until when an upstream is not to be tried again.
-        self._tried: dict[str, float] = {}
-        # Of the request among those that want a permit, when last chosen.
+        # Start id -> monotonic time until which it is not tried again.
+        self._excluded_until: dict[str, float] = {}
+        # Priority of the request among those that want a permit, set by the
+        # last choice.
         self.rank = 0
 
-    def exclude(
-        self, upstream: FleetUpstream, until: float = FOR_EVER
-    ) -> None:
-        """Do not try an upstream again before ``until``."""
-        self._tried[upstream.start] = until
+    def exclude(self, upstream: FleetUpstream, until: float = FOREVER) -> None:
+        """Exclude an upstream until ``until``, in monotonic seconds."""
+        self._excluded_until[upstream.start] = until
 
     def choose(
         self, admitted: Admitted, service: str, *, repeated: bool
     ) -> Placement | None:
         """Return the best upstream, or None if none may serve now.
 
-        :param repeated: the request was sent before.
+        :param repeated: whether the request was sent before.
         """
         parts = self._parts
         fit = [
@@ -65,12 +64,12 @@
             for upstream in self.list_fit(admitted, service)
             if not upstream.reach.unreached
         ]
-        fit = self._select_open(fit, get_urgency(admitted), repeated)
+        fit = self._select_permitted(fit, get_urgency(admitted), repeated)
         generation = self._facts.generation
         wanted = None
         if generation is not None:
             wanted = parts.view.wanted.get(generation.model)
-        around = Surroundings(
+        surroundings = Surroundings(
             now=parts.clock.monotonic(),
             data_centre=parts.settings.data_centre,
             wanted_version=wanted.version if wanted is not None else 0,
@@ -80,48 +79,50 @@
             fetch_seconds=admitted.catalogue.get_fetch_seconds(service),
         )
         if generation is None:
-            return choose_plain(fit, around, parts.source)
+            return choose_plain(fit, surroundings, parts.source)
         return choose_engine(
             fit,
             generation,
             get_wall(admitted),
             parts.sources.shared,
-            around,
+            surroundings,
             parts.source,
         )
 
-    def _select_open(
+    def _select_permitted(
         self, fit: list[FleetUpstream], urgency: int, repeated: bool
     ) -> list[FleetUpstream]:
-        """Return the upstreams that may still take this request."""
+        """Return the upstreams whose rate limits may permit this request."""
         limits = self._parts.limits
         if not limits.in_use:
             return fit
-        free = [item for item in fit if not limits.is_limited(item)]
-        if len(free) == len(fit):
+        unlimited = [item for item in fit if not limits.is_limited(item)]
+        if len(unlimited) == len(fit):
             return fit
         self.rank = rank_request(
-            urgency, has_others=bool(free), repeated=repeated
+            urgency, has_others=bool(unlimited), repeated=repeated
         )
-        if repeated and free:
-            return free
+        if repeated and unlimited:
+            return unlimited
         return [item for item in fit if not limits.is_closed(item, self.rank)]
 
     def find_permit_seconds(self, service: str) -> float | None:
-        """Return when the first limited upstream may take one more request.
+        """Return the seconds until a limited upstream may permit a request.
 
-        None if there are other reasons for which none may serve.
+        None unless rate limits are the only reason why no upstream may serve.
         """
         limits = self._parts.limits
-        left = self._list_left(service)
-        if not left or not all(limits.is_limited(item) for item in left):
+        remaining = self._list_remaining(service)
+        if not remaining or not all(
+            limits.is_limited(item) for item in remaining
+        ):
             return None
-        return min(limits.get_wait(item) for item in left)
+        return min(limits.get_wait(item) for item in remaining)
 
     def list_fit(
         self, admitted: Admitted, service: str
     ) -> list[FleetUpstream]:
-        """Return the upstreams that may begin this request now."""
+        """Return the upstreams to which this request may be sent now."""
         parts = self._parts
         now = parts.clock.monotonic()
         facts = admitted.catalogue.services.get(service)
@@ -130,7 +131,7 @@
         found = [
             upstream
             for upstream in parts.directory.list_fit(service)
-            if self._tried.get(upstream.start, now) <= now
+            if self._excluded_until.get(upstream.start, now) <= now
             and upstream.in_flight < cap
         ]
         generation = self._facts.generation
@@ -144,8 +145,8 @@
             parts.settings.promises.weights_seconds,
         )
 
-    def has_others(self, admitted: Admitted, service: str) -> bool:
-        """Return whether a sound upstream is left to go on."""
+    def has_alternative(self, admitted: Admitted, service: str) -> bool:
+        """Return whether a healthy upstream remains to fail over to."""
         now = self._parts.clock.monotonic()
         return any(
             not upstream.is_doubtful(now)
@@ -153,17 +154,17 @@
         )
 
     def may_become_fit(self, service: str) -> bool:
-        """Return whether an upstream is left that can be waited for.
+        """Return whether an upstream remains that is worth waiting for.
 
-        One that takes no connections is known to be back by a probe only,
-        later than a request may wait.
+        An unreachable upstream is not: only a probe finds out that it is
+        back, which takes longer than a request may wait.
         """
-        return bool(self._list_left(service))
+        return bool(self._list_remaining(service))
 
-    def _list_left(self, service: str) -> list[FleetUpstream]:
+    def _list_remaining(self, service: str) -> list[FleetUpstream]:
         return [
             upstream
             for upstream in self._parts.directory.list_fit(service)
-            if self._tried.get(upstream.start) != FOR_EVER
+            if self._excluded_until.get(upstream.start) != FOREVER
             and not upstream.reach.unreached
         ]
--- a/src/lifttrestle/internal/fleet/path/decision_log.py
+++ b/src/lifttrestle/internal/fleet/path/decision_log.py
@@ -10,11 +10,11 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""The decisions on one request, told as events when it has ended.
+"""Buffers the decisions on one request and logs them when it has ended.
 
-They are kept until the end because only then it is known whether the request
-failed: the story of one that failed is always written whole, those of the
-others within the rate of the log.
+They are buffered because only at the end it is known whether the request
+failed: all events of a failed request are logged, those of other requests
+only within the rate limit of the log.
 """
 
 import dataclasses
@@ -32,13 +32,13 @@
 
 LOG = get_event_log('request')
 MILLISECONDS = 1000
-# Steps of one request; more than its attempts can have.
+# Limit of the steps of one request; more than its attempts can produce.
 MAX_STEPS = 60
 
 
 @dataclasses.dataclass(frozen=True)
 class Step:
-    """One decision, when it was made, and what decided it."""
+    """One decision, when it was made, and the data that it was based on."""
 
     name: str
     after_seconds: float
@@ -46,7 +46,7 @@
 
 
 class DecisionLog:
-    """Collects the steps of one request."""
+    """Buffers the steps of one request."""
 
     def __init__(self, clock: Clock, request_id: str) -> None:
         self._clock = clock
@@ -55,15 +55,15 @@
         self._steps: list[Step] = []
 
     def add(self, name: str, **fields: object) -> None:
-        """Note a decision."""
+        """Record a decision."""
         if len(self._steps) < MAX_STEPS:
             after = self._clock.monotonic() - self._started
             self._steps.append(Step(name, after, fields))
 
     def write(self, outcome: str, *, failed: bool, **fields: object) -> None:
-        """Write the story.
+        """Log all steps, with an ``ended`` step as the last.
 
-        :param failed: write it whole, whatever the rate.
+        :param failed: log them regardless of the rate limit.
         """
         self.add('ended', outcome=outcome, **fields)
         for step in self._steps:
@@ -76,14 +76,14 @@
             )
 
 
-def build_admitted(
+def build_admitted_fields(
     admitted: Admitted,
     facts: RequestFacts,
     view_age: float,
     left: float,
     stop_left: float,
 ) -> dict[str, object]:
-    """Return what the log tells of a request that may be served.
+    """Return the log fields of an admitted request.
 
     :param stop_left: seconds until this process is killed, or infinity.
     """
@@ -103,8 +103,8 @@
     }
 
 
-def build_usage(facts: UsageFacts) -> dict[str, object]:
-    """Return what the log tells of a workspace's use of its cap."""
+def build_usage_fields(facts: UsageFacts) -> dict[str, object]:
+    """Return the log fields of a workspace's use of its cap."""
     return {
         'units': round(facts.units),
         'left': round(facts.left),
@@ -116,12 +116,12 @@
     }
 
 
-def build_permit(
+def build_permit_fields(
     upstream: FleetUpstream, permit: Permit, rank: int
 ) -> dict[str, object]:
-    """Return what the log tells of a limited upstream that was asked for.
+    """Return the log fields of a permit requested for a limited upstream.
 
-    :param rank: of the request among those that want a permit.
+    :param rank: priority of the request among those that want a permit.
     """
     return {
         'instance': upstream.instance,
@@ -134,8 +134,8 @@
     }
 
 
-def build_chosen(placement: Placement) -> dict[str, object]:
-    """Return what the log tells of the choice of an upstream."""
+def build_chosen_fields(placement: Placement) -> dict[str, object]:
+    """Return the log fields of the choice of an upstream."""
     return {
         'instance': placement.upstream.instance,
         'reason': placement.reason,
@@ -147,20 +147,21 @@
     }
 
 
-def build_answered(
+def build_answered_fields(
     placement: Placement,
     observed_seconds: float,
-    begun_seconds: float,
+    first_answer_seconds: float,
     order: UpstreamOrder,
 ) -> dict[str, object]:
-    """Return what the log tells of an answer's beginning.
+    """Return the log fields of an answer that began.
 
-    :param observed_seconds: from the sending to the answer's head.
-    :param begun_seconds: from the request's arrival to its first answer.
+    :param observed_seconds: time from the send to the answer's head.
+    :param first_answer_seconds: time from the arrival of the request to the
+        head of its first answer.
     """
     cache = order.cache
     return {
-        'begun_ms': round(begun_seconds * MILLISECONDS, 1),
+        'begun_ms': round(first_answer_seconds * MILLISECONDS, 1),
         'first_ms': round(observed_seconds * MILLISECONDS, 1),
         'expected_ms': round(placement.expected_seconds * MILLISECONDS, 1),
         'unread_tokens': placement.unread_tokens or None,
--- a/src/lifttrestle/internal/fleet/path/dialect.py
+++ b/src/lifttrestle/internal/fleet/path/dialect.py
@@ -10,10 +10,10 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""How requests and answers are read and written, behind an interface.
+"""Interface for parsing and building the heads of requests and answers.
 
-The exchange asks a dialect what a request says and what an answer proves, and
-decides by that alone.
+All decisions of an exchange are based on what its dialect extracts from the
+heads of requests and answers.
 """
 
 import abc
@@ -37,9 +37,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class Generation:
-    """What a request says of the text that it wants generated.
+    """What a request specifies about the text to generate.
 
-    :ivar parts: the prompt's parts in order; the last is its own.
+    :ivar parts: the prompt's parts in order; the last one is not shared with
+        other requests.
     """
 
     model: str
@@ -54,22 +55,23 @@
 
     @property
     def all_tokens(self) -> int:
-        """Return the tokens of the prompt and the most that may be made."""
+        """Return the prompt tokens plus the most that may be generated."""
         return max(self.prompt_tokens, 0) + max(self.output_tokens, 0)
 
     @property
     def own_tokens(self) -> int:
-        """Return the tokens that no other request shares."""
+        """Return the prompt tokens that no other request shares."""
         return self.prompt_tokens - sum(part.tokens for part in self.shared)
 
 
 @dataclasses.dataclass(frozen=True)
 class RequestFacts:
-    """What the head of a request says.
+    """What the head of a request specifies.
 
-    :ivar key: the caller's key, or None.
-    :ivar wait_seconds: how long the caller waits, or None if not told.
-    :ivar last_event: the last event that the caller holds already, or None.
+    :ivar key: the caller's API key, or None.
+    :ivar wait_seconds: how long the caller waits, or None if not specified.
+    :ivar last_event: id of the last event that the caller has received, or
+        None.
     """
 
     request_id: str
@@ -83,8 +85,9 @@
 
 @dataclasses.dataclass(frozen=True)
 class CacheUse:
-    """Under which salt cached context is shared, and where it is kept.
+    """Which cached prompt parts an engine may use, and where they are stored.
 
+    :ivar salt: only requests with the same salt share cached parts.
     :ivar source: address to read missing parts from, or an empty string.
     :ivar target: address to write the parts to, or an empty string.
     """
@@ -96,14 +99,15 @@
 
 @dataclasses.dataclass(frozen=True)
 class UpstreamOrder:
-    """What the router asks of one upstream beside the caller's request.
+    """What the router adds to a request that it sends to an upstream.
 
-    :ivar instance: the only start of an upstream that may run it.
-    :ivar wait_seconds: after which the upstream is to stop.
-    :ivar workspace: the caller's, or an empty string.
+    :ivar instance: the only start of an upstream that may run the request.
+    :ivar wait_seconds: time limit after which the upstream must stop.
+    :ivar workspace: the caller's workspace, or an empty string.
+    :ivar hide_key: whether the caller's API key is removed.
     :ivar weights: the only version of the weights that may be used.
-    :ivar urgency: 0 is first, None for the upstream's default.
-    :ivar last_event: after which event the stream is to go on, or None.
+    :ivar urgency: 0 is the most urgent, None for the upstream's default.
+    :ivar last_event: id of the event after which the stream resumes, or None.
     """
 
     instance: str
@@ -118,20 +122,19 @@
 
 @dataclasses.dataclass(frozen=True)
 class AnswerFacts:
-    """What the head of an upstream's answer proves.
+    """What the head of an upstream's answer states.
 
-    :ivar proved: it bears the mark of the upstream that made it.
+    :ivar verified: it bears the stamp of the upstream that made it.
     :ivar request_id: the request that it answers.
-    :ivar not_run: the upstream says that it did not run the request.
+    :ivar not_run: the upstream states that it did not run the request.
     :ivar other_instance: another upstream, or other weights, are at that
-        address; it did not run the request.
+        address; the request did not run.
     :ivar instance: the start of an upstream that answered, or an empty string
-        where the answer does not name it.
-    :ivar encoded: its body is not what the upstream made.
+        if the answer does not name it.
+    :ivar encoded: the body was changed by a content coding.
     :ivar weights: version of the weights in use, or None.
-    :ivar leaving: the connection ends with this answer.
-    :ivar idle_seconds: how long the connection may rest, or None.
-    :ivar limit: what it says of the rate that its upstream takes.
+    :ivar idle_seconds: how long the connection may be idle, or None.
+    :ivar limit: the rate limit that the upstream announces.
     """
 
     status: int
@@ -147,13 +150,13 @@
 
 
 class RequestDialect(abc.ABC):
-    """Reads callers' requests and upstreams' answers."""
+    """Parses and builds the heads of requests and answers."""
 
     @abc.abstractmethod
     def read_request(self, head: RequestHead) -> RequestFacts:
-        """Return what a request's head says.
+        """Parse the head of a caller's request.
 
-        :raises RequestRefused: if a header can't be read.
+        :raises RequestRefused: if a header can't be parsed.
         """
 
     @abc.abstractmethod
@@ -164,14 +167,14 @@
 
     @abc.abstractmethod
     def read_answer(self, head: ResponseHead) -> AnswerFacts:
-        """Return what an answer's head proves."""
+        """Parse the head of an upstream's answer."""
 
     @abc.abstractmethod
     def select_answer_headers(self, head: ResponseHead) -> tuple[Header, ...]:
-        """Return the headers of an answer that the caller is shown."""
+        """Return the headers of an answer to forward to the caller."""
 
     @abc.abstractmethod
     def build_refusal(
         self, refused: RequestRefused, request_id: str
     ) -> Answer:
-        """Return the answer for a refused request."""
+        """Return the answer to a refused request."""
--- a/src/lifttrestle/internal/fleet/path/event_relay.py
+++ b/src/lifttrestle/internal/fleet/path/event_relay.py
@@ -10,25 +10,26 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Passes on the events of a stream, each one whole, once and in order."""
+"""Forwards server-sent events, each one complete, once and in order."""
 
 from lifttrestle.errors import UpstreamLost
 from lifttrestle.internal.http.answer import Header
 from lifttrestle.internal.http.server_connection import ServerConnection
 
-ENDS = (b'\n\n', b'\r\n\r\n')
+EVENT_TERMINATORS = (b'\n\n', b'\r\n\r\n')
 ID_FIELD = b'id:'
-# An event that is longer than this is no event.
+# A longer event is treated as a broken stream.
 MAX_EVENT_BYTES = 1024 * 1024
 
 
 class EventRelay:
-    """Sends a caller the events of one or, resumed, several runs.
+    """Sends a caller the events of a stream and of those that resume it.
 
-    An event is sent when it is complete: a run that breaks off within one
-    leaves nothing behind that another run could not follow.
+    Only complete events are sent: if a stream breaks off within an event,
+    another upstream can resume it after the last event sent.
 
     :ivar last_event: the id of the last event sent, or None.
+    :ivar started: whether the head of the answer was sent.
     :ivar sent: how many events were sent.
     """
 
@@ -39,13 +40,17 @@
         self.last_event = last_event
         self.started = False
         self.sent = 0
-        self._held = b''
+        self._buffer = b''
         self._status = 0
         self._headers: tuple[Header, ...] = ()
 
     def begin_stream(self, status: int, headers: tuple[Header, ...]) -> None:
-        """Expect the events of a run; the first run's head is the one sent."""
-        self._held = b''
+        """Prepare for the events of the first stream or of a resumed one.
+
+        The caller receives the status and headers of the stream whose event
+        is sent first.
+        """
+        self._buffer = b''
         if not self.started:
             self._status = status
             self._headers = headers
@@ -53,19 +58,19 @@
     async def feed(self, data: bytes) -> None:
         """Send the events that ``data`` completes.
 
-        :raises UpstreamLost: if the bytes are no events in order.
+        :raises UpstreamLost: if more than ``MAX_EVENT_BYTES`` are buffered.
         """
-        self._held += data
-        if len(self._held) > MAX_EVENT_BYTES:
-            raise UpstreamLost('an event has no end')
+        self._buffer += data
+        if len(self._buffer) > MAX_EVENT_BYTES:
+            raise UpstreamLost('an event of the stream is too long')
         ready: list[bytes] = []
         while True:
-            size = _find_event(self._held)
+            size = _measure_first_event(self._buffer)
             if not size:
                 break
-            event = self._held[:size]
-            self._held = self._held[size:]
-            if self._is_next(event):
+            event = self._buffer[:size]
+            self._buffer = self._buffer[size:]
+            if self._accept_event(event):
                 ready.append(event)
         if ready:
             self.sent += len(ready)
@@ -76,13 +81,13 @@
 
         :raises UpstreamLost: if it ended within an event.
         """
-        if self._held:
+        if self._buffer:
             raise UpstreamLost('the stream ended within an event')
         if not self.started:
             await self._start()
         await self._connection.end_answer()
 
-    def _is_next(self, event: bytes) -> bool:
+    def _accept_event(self, event: bytes) -> bool:
         number = _read_id(event)
         if number is None:
             return True
@@ -101,9 +106,13 @@
         await self._connection.start_answer(self._status, self._headers)
 
 
-def _find_event(data: bytes) -> int:
-    """Return the length of the first whole event, or zero."""
-    sizes = [data.find(end) + len(end) for end in ENDS if data.find(end) >= 0]
+def _measure_first_event(data: bytes) -> int:
+    """Return the length of the first complete event, or zero."""
+    sizes = [
+        data.find(end) + len(end)
+        for end in EVENT_TERMINATORS
+        if data.find(end) >= 0
+    ]
     return min(sizes, default=0)
 
 
--- a/src/lifttrestle/internal/fleet/path/exchange.py
+++ b/src/lifttrestle/internal/fleet/path/exchange.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Serves one request of a caller, over as many attempts as it may have."""
+"""Serves one request of a caller, with retries and failover."""
 
 import asyncio
 import itertools
@@ -31,10 +31,10 @@
 from lifttrestle.internal.fleet.crashes.loss_watch import StartSign
 from lifttrestle.internal.fleet.crashes.memory import RequestOrigin
 from lifttrestle.internal.fleet.parts import FleetParts
-from lifttrestle.internal.fleet.path.answer_forwarding import AnswerPassing
+from lifttrestle.internal.fleet.path.answer_forwarding import AnswerForwarder
 from lifttrestle.internal.fleet.path.candidates import Candidates
-from lifttrestle.internal.fleet.path.decision_log import build_admitted
-from lifttrestle.internal.fleet.path.decision_log import build_chosen
+from lifttrestle.internal.fleet.path.decision_log import build_admitted_fields
+from lifttrestle.internal.fleet.path.decision_log import build_chosen_fields
 from lifttrestle.internal.fleet.path.decision_log import DecisionLog
 from lifttrestle.internal.fleet.path.decision_log import MILLISECONDS
 from lifttrestle.internal.fleet.path.dialect import RequestFacts
@@ -44,24 +44,25 @@
 from lifttrestle.internal.fleet.path.sending import RequestSender
 from lifttrestle.internal.fleet.path.upstream_search import find_upstream
 from lifttrestle.internal.fleet.path.watched_work import read_body
-from lifttrestle.internal.fleet.path.watched_work import run_watched
+from lifttrestle.internal.fleet.path.watched_work import run_while_connected
 from lifttrestle.internal.fleet.policy.placement import Placement
 from lifttrestle.internal.fleet.state.upstream import FleetUpstream
 from lifttrestle.internal.http.head import RequestHead
 from lifttrestle.internal.http.server_connection import ServerConnection
 from lifttrestle.internal.refusal.kind import ErrorKind
 
-# Sends of one request, counting those that were turned away unread.
+# Limit of the sends of one request, including those that were declined
+# unread.
 MAX_SENDS = 4
-# After an engine has turned a request away, it is avoided until its entry or
-# the plan tells more.
-DECLINED_SECONDS = 0.15
-FIRST_ERROR = 400
+# An engine that declined a request is avoided for this long, within which its
+# entry or the plan of the weights is updated.
+DECLINED_BACKOFF_SECONDS = 0.15
+FIRST_CLIENT_ERROR = 400
 _TICKETS = itertools.count()
 
 
 class FleetExchange(AttemptPlan[Placement, None]):
-    """Owns the attempts that one request needs."""
+    """Runs the attempts of one request and reports how it ended."""
 
     def __init__(
         self,
@@ -77,12 +78,12 @@
         self._body = b''
         self._started = parts.clock.monotonic()
         self._progress = RequestProgress()
-        self._story = DecisionLog(parts.clock, facts.request_id)
-        self._passing = AnswerPassing(
+        self._decision_log = DecisionLog(parts.clock, facts.request_id)
+        self._forwarder = AnswerForwarder(
             parts, connection, self._progress, facts.last_event
         )
         self._candidates = Candidates(parts, facts)
-        # Both are set once it is admitted, before anything is tried.
+        # Both are set on admission, before the first attempt.
         self._request: RequestContext | None = None
         self._sender: RequestSender | None = None
 
@@ -91,41 +92,43 @@
 
         :raises CallerGone: if the caller left.
         """
-        # Told of whatever ends the request in none of the ways below.
+        # Reported if none of the handlers below applies.
         outcome = 'fault'
         failed = True
         try:
             shutdown = self._parts.shutdown
             self._body = await read_body(self._connection, shutdown)
-            await run_watched(self._serve(), self._connection, shutdown)
+            await run_while_connected(
+                self._serve(), self._connection, shutdown
+            )
             outcome = 'complete'
             failed = False
         except RequestRefused as refused:
             if self._request is not None:
-                refused = self._request.be_truthful(refused)
+                refused = self._request.correct_refusal(refused)
             outcome = refused.kind.value
             await self._refuse(refused)
         except (CallerGone, OSError) as gone:
             outcome = f'caller gone: {gone}'
             raise
         except asyncio.CancelledError:
-            # This process ends before the request does.
+            # The process stops before the request has ended.
             outcome = 'cut'
             raise
         finally:
             if self._request is not None and self._request.charge is not None:
                 self._request.charge.settle()
             service = self._request.service if self._request else ''
-            self._story.write(
+            self._decision_log.write(
                 outcome,
                 failed=failed,
                 service=service,
                 longest_pause_ms=round(
-                    self._passing.longest_pause * MILLISECONDS
+                    self._forwarder.longest_pause * MILLISECONDS
                 ),
-                events=self._passing.relay.sent or None,
-                quiet_ms=self._get_quiet_ms() if outcome == 'cut' else None,
-                **(self._sender.answered if self._sender else {}),
+                events=self._forwarder.relay.sent or None,
+                quiet_ms=self._get_inactive_ms() if outcome == 'cut' else None,
+                **(self._sender.answered_fields if self._sender else {}),
             )
             self._parts.metrics.count_request(
                 service or 'none',
@@ -133,16 +136,18 @@
                 self._parts.clock.monotonic() - self._started,
             )
 
-    def _get_quiet_ms(self) -> int | None:
-        """Return since when the upstream has sent nothing, if it began."""
-        seconds = self._passing.get_quiet(self._parts.clock.monotonic())
+    def _get_inactive_ms(self) -> int | None:
+        """Return for how long the stream has been silent, if it began."""
+        seconds = self._forwarder.get_inactive_seconds(
+            self._parts.clock.monotonic()
+        )
         return None if seconds is None else round(seconds * MILLISECONDS)
 
     async def _serve(self) -> None:
         request = begin_request(
             self._parts,
             self._facts,
-            self._story,
+            self._decision_log,
             self._progress,
             self._started,
         )
@@ -151,29 +156,29 @@
             request.admitted, self._facts.host, self._head, self._body
         )
         self._sender = RequestSender(
-            request, self._head, self._body, self._passing, self._candidates
+            request, self._head, self._body, self._forwarder, self._candidates
         )
         self._progress.move(RequestEvent.ADMIT)
-        self._story.add(
+        self._decision_log.add(
             'admitted',
-            **build_admitted(
+            **build_admitted_fields(
                 request.admitted,
                 self._facts,
                 self._parts.operator_watch.get_age(),
-                request.get_left(),
+                request.get_remaining_seconds(),
                 self._parts.shutdown.get_left(),
             ),
             digest=name_request(request.digest),
         )
         self._parts.get_budget(request.service).note_request()
         try:
-            async with asyncio.timeout(request.get_left()):
+            async with asyncio.timeout(request.get_remaining_seconds()):
                 await run_attempts(self)
         except TimeoutError:
-            self._story.add('out_of_time')
+            self._decision_log.add('out_of_time')
             raise RequestRefused(
                 ErrorKind.DEADLINE_EXCEEDED,
-                'the time for this request is over',
+                'the deadline of this request has passed',
                 ran=self._progress.execution,
             ) from None
 
@@ -183,21 +188,21 @@
         return self._request
 
     async def choose(self) -> Placement:
-        """Return an upstream, by what is in force now."""
+        """Choose an upstream by the current configuration and loads."""
         self._context.check_held()
         workspace = self._context.admitted.workspace
         capped = workspace is not None and workspace.cap is not None
         if self._facts.generation is not None or capped:
             await self._parts.learn_loads(workspace if capped else None)
-        self._context.admit_again()
+        self._context.readmit()
         self._context.charge_usage()
         placement = await find_upstream(self._context, self._candidates)
         self._candidates.exclude(placement.upstream)
-        self._story.add('chosen', **build_chosen(placement))
+        self._decision_log.add('chosen', **build_chosen_fields(placement))
         return placement
 
     async def attempt(self, chosen: Placement) -> None:
-        """Send the request and pass its answer on."""
+        """Send the request and forward its answer."""
         upstream = chosen.upstream
         ticket = next(_TICKETS)
         upstream.in_flight += 1
@@ -210,28 +215,28 @@
     async def judge(
         self, chosen: Placement, error: LifttrestleError
     ) -> Verdict:
-        """Hold the failure against the upstream, and go on if allowed."""
+        """Record the failure of an attempt and decide whether to retry."""
         request = self._context
         self._note_failure(chosen.upstream, error)
         if request.sends >= MAX_SENDS:
-            raise request.give_up(
+            raise request.make_refusal(
                 ErrorKind.UPSTREAM_FAILED, f'too many attempts: {error}'
             )
         if request.runs == 0:
             return Verdict.AGAIN
         if self._parts.crashes.must_end(request.digest):
-            raise request.give_up(
+            raise request.make_refusal(
                 ErrorKind.UPSTREAM_FAILED,
-                f'upstreams crash under this request: {error}',
+                f'upstreams crash while running this request: {error}',
             )
         route = request.admitted.route
         if not route.repeatable:
-            raise request.give_up(
-                ErrorKind.UPSTREAM_FAILED, f'it may have run: {error}'
+            raise request.make_refusal(
+                ErrorKind.UPSTREAM_FAILED, f'the request may have run: {error}'
             )
         if request.runs >= route.max_attempts:
-            raise request.give_up(
-                ErrorKind.UPSTREAM_FAILED, f'no attempt is left: {error}'
+            raise request.make_refusal(
+                ErrorKind.UPSTREAM_FAILED, f'all attempts are used up: {error}'
             )
         return Verdict.AGAIN
 
@@ -240,7 +245,7 @@
     ) -> None:
         kind = type(error).__name__
         self._parts.metrics.count_attempt(self._context.service, kind)
-        self._story.add(
+        self._decision_log.add(
             'attempt_failed',
             instance=upstream.instance,
             kind=kind,
@@ -269,12 +274,12 @@
         return RequestOrigin(name, admitted.route.name)
 
     def _note_declined(self, upstream: FleetUpstream, now: float) -> None:
-        """Take a run back that was none; its upstream may do better soon."""
+        """Uncount a declined attempt and avoid its upstream for a while."""
         self._progress.move(RequestEvent.DECLINED)
         self._context.runs -= 1
         if self._context.charge is not None:
             self._context.charge.note_not_run()
-        until = now + DECLINED_SECONDS
+        until = now + DECLINED_BACKOFF_SECONDS
         self._candidates.exclude(upstream, until)
         if self._facts.generation is not None:
             upstream.busy_until = max(upstream.busy_until, until)
@@ -287,25 +292,26 @@
             answer, patience = await self._sender.send(
                 chosen, ticket, connection
             )
-            await self._passing.pass_on(
+            await self._forwarder.forward(
                 self._context.admitted.route, upstream, answer, patience
             )
         except (UpstreamDeclined, UpstreamFailed, RequestRefused):
-            # Its answer was read to the end, or nothing was sent.
+            # The answer was read completely, or nothing was sent.
             upstream.pool.give_back(connection)
             raise
         except BaseException:
             connection.close()
             raise
-        if answer.facts.status < FIRST_ERROR:
-            # An upstream may reject what it has not begun to run.
+        if answer.facts.status < FIRST_CLIENT_ERROR:
+            # Error answers don't count: an upstream may reject a request that
+            # it has not begun to run.
             self._parts.crashes.note_good_end(self._context.digest)
         self._parts.metrics.count_attempt(self._context.service, 'good')
         upstream.breaker.note_success()
         upstream.pool.give_back(connection)
 
     async def _refuse(self, refused: RequestRefused) -> None:
-        self._story.add(
+        self._decision_log.add(
             'refused',
             kind=refused.kind.value,
             reason=refused.message,
@@ -313,11 +319,11 @@
             retry_after_s=refused.retry_after,
         )
         if self._connection.answer_started:
-            # What was sent can't be completed and must not look complete.
+            # The answer can't be completed and must not look complete.
             self._connection.abort()
             return
-        if self._passing.failure is not None:
-            await self._connection.send_answer(self._passing.failure)
+        if self._forwarder.failure is not None:
+            await self._connection.send_answer(self._forwarder.failure)
             return
         dialect = self._parts.dialect
         await self._connection.send_answer(
--- a/src/lifttrestle/internal/fleet/path/handlers.py
+++ b/src/lifttrestle/internal/fleet/path/handlers.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""What is served at the router's addresses of a fleet."""
+"""Handlers for the HTTP servers of a fleet router."""
 
 from collections.abc import Callable
 
@@ -34,14 +34,16 @@
 
 LOG = get_event_log('router')
 STATUS_OK = 200
-TEXT = (('content-type', 'text/plain; version=0.0.4; charset=utf-8'),)
-JSON = (('content-type', 'application/json'),)
+METRICS_HEADERS = (
+    ('content-type', 'text/plain; version=0.0.4; charset=utf-8'),
+)
+JSON_HEADERS = (('content-type', 'application/json'),)
 STATUS_UNAVAILABLE = 503
 LIMITS_PATH = '/limits'
 
 
 class RequestHandler:
-    """Hands each caller's request to an exchange of its own."""
+    """Serves each request of a caller by an exchange."""
 
     def __init__(self, parts: FleetParts) -> None:
         self._parts = parts
@@ -62,12 +64,12 @@
         except (CallerGone, OSError):
             raise
         except Exception:
-            # A fault of this program: told to the operators in full, and to
-            # the caller as a failure after which nothing is known.
+            # A bug in the router: logged with its traceback, and reported to
+            # the caller as a failure after which the request may have run.
             LOG.exception('router.fault', request=facts.request_id)
-            await self._fail(connection, facts.request_id)
+            await self._send_internal_error(connection, facts.request_id)
 
-    async def _fail(
+    async def _send_internal_error(
         self, connection: ServerConnection, request_id: str
     ) -> None:
         if connection.answer_started:
@@ -85,13 +87,17 @@
 
 
 class ReadinessHandler:
-    """Says whether new connections are welcome."""
+    """Reports whether the router is ready for new connections.
+
+    :param state_loaded: whether the shared state is loaded without which no
+        request may be served.
+    """
 
     def __init__(
-        self, parts: FleetParts, knows_holds: Callable[[], bool]
+        self, parts: FleetParts, state_loaded: Callable[[], bool]
     ) -> None:
         self._parts = parts
-        self._knows_holds = knows_holds
+        self._state_loaded = state_loaded
 
     async def handle(
         self, connection: ServerConnection, head: RequestHead
@@ -107,12 +113,12 @@
             not parts.shutdown.begun
             and parts.view.catalogue is not None
             and is_fresh(parts)
-            and self._knows_holds()
+            and self._state_loaded()
         )
 
 
 class MetricsHandler:
-    """Serves the limits in force as JSON, and the metrics at other paths."""
+    """Serves the limits in force as JSON, and metrics at all other paths."""
 
     def __init__(
         self, metrics: FleetMetrics, limits: UpstreamLimits, clock: Clock
@@ -124,9 +130,11 @@
     async def handle(
         self, connection: ServerConnection, head: RequestHead
     ) -> None:
-        """Answer with what the path asks for."""
-        answer = Answer(STATUS_OK, TEXT, self._metrics.render())
+        """Answer with the limits or the metrics, by the path."""
+        answer = Answer(STATUS_OK, METRICS_HEADERS, self._metrics.render())
         if head.path == LIMITS_PATH:
             listed = list_limits(self._limits, self._clock.monotonic())
-            answer = Answer(STATUS_OK, JSON, msgspec.json.encode(listed))
+            answer = Answer(
+                STATUS_OK, JSON_HEADERS, msgspec.json.encode(listed)
+            )
         await connection.send_answer(answer)
--- a/src/lifttrestle/internal/fleet/path/order_building.py
+++ b/src/lifttrestle/internal/fleet/path/order_building.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""What the router asks of an upstream beside the caller's request."""
+"""Builds what the router adds to a request that it sends to an upstream."""
 
 from lifttrestle.internal.fleet.path.dialect import CacheUse
 from lifttrestle.internal.fleet.path.dialect import UpstreamOrder
@@ -26,7 +26,7 @@
 ) -> UpstreamOrder:
     """Return the order for one attempt.
 
-    :param last_event: after which event a stream is to go on, or None.
+    :param last_event: id of the event after which a stream resumes, or None.
     """
     admitted = request.admitted
     workspace = admitted.workspace
@@ -36,7 +36,7 @@
         weights = upstream.weights.get(generation.model)
     return UpstreamOrder(
         instance=upstream.instance,
-        wait_seconds=request.get_left(),
+        wait_seconds=request.get_remaining_seconds(),
         workspace=workspace.name if workspace is not None else '',
         hide_key=admitted.catalogue.keys is not None,
         weights=weights,
@@ -56,11 +56,11 @@
     address = ''
     if generation.shared:
         last = generation.shared[-1].part_id
-        kept = admitted.catalogue.find_cache_store(last)
-        if kept is not None:
-            store = request.parts.stores.get(kept)
-            # To ask for what can't be had costs an engine some hundred
-            # milliseconds a request.
+        store_name = admitted.catalogue.find_cache_store(last)
+        if store_name is not None:
+            store = request.parts.stores.get(store_name)
+            # An engine that is sent to an unreachable store waits some hundred
+            # milliseconds for it with each request.
             address = '' if store.reach.unreached else store.address
     salt = build_salt(get_wall(admitted), generation.model, weights)
     return request.parts.sources.choose(salt, generation, address)
--- a/src/lifttrestle/internal/fleet/path/request_context.py
+++ b/src/lifttrestle/internal/fleet/path/request_context.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""What one request has come to so far, for all who take part in serving it."""
+"""The state of one request, shared by the classes that serve it."""
 
 import dataclasses
 
@@ -19,7 +19,7 @@
 from lifttrestle.internal.exchange.progress import RequestState
 from lifttrestle.internal.fleet.crashes.held_row import name_request
 from lifttrestle.internal.fleet.parts import FleetParts
-from lifttrestle.internal.fleet.path.decision_log import build_usage
+from lifttrestle.internal.fleet.path.decision_log import build_usage_fields
 from lifttrestle.internal.fleet.path.decision_log import DecisionLog
 from lifttrestle.internal.fleet.path.dialect import RequestFacts
 from lifttrestle.internal.fleet.policy.admission import admit
@@ -31,36 +31,37 @@
 from lifttrestle.internal.refusal.execution import Execution
 from lifttrestle.internal.refusal.kind import ErrorKind
 
-# When a refused caller may come back: engines free a slot within that time.
+# Retry-After of refused requests: engines free a slot within that time.
 RETRY_SECONDS = 0.15
-# Below this there is no time left to be served in.
+# Lower bound of the remaining time of a request.
 MIN_LEFT_SECONDS = 0.01
-# Statuses by which this router promises that a request has not run. An
-# upstream that answers so without saying the same has made no such promise.
-PROMISING = (408, 421, 429, 503)
+# Statuses by which this router promises that a request has not run. Such a
+# status of an upstream is no promise unless the answer also states explicitly
+# that the request did not run.
+NOT_RUN_STATUSES = (408, 421, 429, 503)
 
 
 @dataclasses.dataclass
 class RequestContext:
     """One request and its state.
 
-    :ivar started: when it was received, monotonic seconds.
-    :ivar deadline: when it is answered at the latest, likewise.
-    :ivar admitted: what it may use, by the newest configuration; renewed
-        with each attempt.
-    :ivar service: by which it is served.
-    :ivar sends: attempts that were sent, those turned away among them.
-    :ivar runs: attempts that may have run.
-    :ivar digest: is the same when the request comes again.
-    :ivar on_trial: it is held, and may run once more all the same.
-    :ivar charge: what it takes of its workspace's cap, None before it was
-        asked for and where there is no cap.
+    :ivar started: when it was received, in monotonic seconds.
+    :ivar deadline: when it must be answered at the latest, likewise.
+    :ivar admitted: its route and workspace by the newest configuration;
+        updated with each attempt.
+    :ivar service: the service whose upstreams serve it.
+    :ivar sends: how many attempts were sent, including declined ones.
+    :ivar runs: how many attempts may have run.
+    :ivar digest: identifies the request when it is repeated.
+    :ivar on_trial: whether it may run once more although it is held.
+    :ivar charge: its share of the usage cap of its workspace, None before it
+        is charged and if there is no cap.
     """
 
     parts: FleetParts
     facts: RequestFacts
     admitted: Admitted
-    story: DecisionLog
+    decision_log: DecisionLog
     progress: RequestProgress
     started: float
     deadline: float
@@ -73,23 +74,23 @@
 
     @property
     def is_repeat(self) -> bool:
-        """Return whether a send would begin anew what was sent before.
+        """Return whether a send would start the request from the beginning.
 
-        A stream that goes on for a caller who has its beginning does not.
+        Resuming a stream whose beginning the caller has received does not.
         """
         begun = self.progress.state is RequestState.FIRST_BYTE
         return self.sends > 0 and not begun
 
-    def get_left(self) -> float:
-        """Return the seconds that are left to serve it in."""
+    def get_remaining_seconds(self) -> float:
+        """Return the seconds until the deadline."""
         now = self.parts.clock.monotonic()
         return max(self.deadline - now, MIN_LEFT_SECONDS)
 
-    def admit_again(self) -> Admitted:
-        """Return what it may use now, and by which service.
+    def readmit(self) -> Admitted:
+        """Admit the request again by the current configuration.
 
-        A key may have been taken away since, the route may lead elsewhere,
-        or the view may have become too old to rely on.
+        Since the last admission its key may have been revoked, its route may
+        have changed, or the router's view may have become stale.
 
         :raises RequestRefused: if it may not be served any more.
         """
@@ -97,13 +98,13 @@
         names = [share.service for share in self.admitted.route.shares]
         if self.service not in names:
             self.service = self._choose_service()
-        self._check_stop()
+        self._check_stopping()
         return self.admitted
 
     def charge_usage(self) -> None:
-        """Take what it counts of its workspace's cap, once.
+        """Charge the request to the usage cap of its workspace, once.
 
-        :raises RequestRefused: if nothing is left of the cap.
+        :raises RequestRefused: if the cap is used up.
         """
         workspace = self.admitted.workspace
         if self.charge is not None or workspace is None:
@@ -114,7 +115,7 @@
         facts = charge.admit()
         if facts is None:
             return
-        self.story.add('usage', **build_usage(facts))
+        self.decision_log.add('usage', **build_usage_fields(facts))
         if facts.retry_seconds is not None:
             self.parts.metrics.count_over_cap(workspace.name)
             raise RequestRefused(
@@ -126,21 +127,21 @@
         self.charge = charge
 
     def check_held(self) -> None:
-        """Return if it may run for all that is known of its earlier runs.
+        """Check that the request is not held for crashing upstreams.
 
-        :raises RequestRefused: if it must not. There is no time to come back
-            in: the next try would be refused, too.
+        :raises RequestRefused: if it is held and may not be tried. The refusal
+            has no retry time, since a repeat would be refused, too.
         """
         crashes = self.parts.crashes
         if self.on_trial or not crashes.is_held(self.digest):
             return
         if self.sends or not crashes.may_try(self.digest):
-            raise self._refuse_held()
+            raise self._make_held_refusal()
 
-    async def check_held_to_send(self) -> None:
-        """Return if it may be sent now, on trial if it is held.
+    async def check_held_before_send(self) -> None:
+        """Check that the request may be sent now, claiming a trial if held.
 
-        :raises RequestRefused: if it must not.
+        :raises RequestRefused: if it may not be sent.
         """
         self.check_held()
         crashes = self.parts.crashes
@@ -148,18 +149,22 @@
             return
         self.on_trial = await crashes.claim_trial(self.digest)
         if not self.on_trial:
-            raise self._refuse_held()
+            raise self._make_held_refusal()
 
-    def _refuse_held(self) -> RequestRefused:
+    def _make_held_refusal(self) -> RequestRefused:
         self.parts.crashes.note_refused(self.digest)
         return RequestRefused(
             ErrorKind.CRASHES_UPSTREAMS,
-            'upstreams have crashed under this request; it is held as'
+            'upstreams have crashed while running this request; it is held as'
             f' {name_request(self.digest)}',
         )
 
-    def give_up(self, kind: ErrorKind, message: str) -> RequestRefused:
-        """Return the refusal that is true of it now."""
+    def make_refusal(self, kind: ErrorKind, message: str) -> RequestRefused:
+        """Return a refusal that states correctly whether the request ran.
+
+        If it did not run, the kind is ``NO_UPSTREAM`` and the caller may
+        retry.
+        """
         ran = self.progress.execution
         if ran is Execution.NOT_RUN:
             return RequestRefused(
@@ -169,39 +174,39 @@
             kind = ErrorKind.UPSTREAM_FAILED
         return RequestRefused(kind, message, ran=ran)
 
-    def be_truthful(self, refused: RequestRefused) -> RequestRefused:
-        """Promise that nothing ran only if that is so.
+    def correct_refusal(self, refused: RequestRefused) -> RequestRefused:
+        """Replace a refusal that would promise wrongly that nothing ran.
 
-        A repeatable request may be refused for its key or for the age of the
-        view after an attempt of which nobody knows whether it ran.
+        A repeatable request may be refused, because of its key or a stale
+        view, after an attempt that may have run.
         """
         ran = self.progress.execution
-        promises = ANSWERS[refused.kind].status in PROMISING
+        promises = ANSWERS[refused.kind].status in NOT_RUN_STATUSES
         if ran is Execution.NOT_RUN or not promises:
             return refused
         return RequestRefused(
             ErrorKind.UPSTREAM_FAILED, refused.message, ran=ran
         )
 
-    def _check_stop(self) -> None:
-        """Refuse what may not end before this process does.
+    def _check_stopping(self) -> None:
+        """Refuse a request that may not end before this process does.
 
-        Asked before each sending, since an upstream may have turned it away,
-        or lost it, when its time was nearly over. A stream that has begun goes
-        on as far as it gets.
+        Checked before each send, since an earlier attempt may have been
+        declined or lost shortly before the process ends. A stream that has
+        begun continues until the process ends.
         """
         shutdown = self.parts.shutdown
         if not shutdown.begun:
             return
         if self.progress.state is RequestState.FIRST_BYTE:
             return
-        limit = self.get_left()
+        limit = self.get_remaining_seconds()
         left = shutdown.get_serving_left()
         if may_end_in_time(limit, left):
             return
         raise RequestRefused(
             ErrorKind.STOPPING,
-            f'this router ends in {left:.1f} s, and the request may take'
+            f'this router stops in {left:.1f} s, and the request may take'
             f' {limit:.1f} s',
             retry_after=STOPPING_RETRY_SECONDS,
         )
@@ -219,11 +224,11 @@
 def begin_request(
     parts: FleetParts,
     facts: RequestFacts,
-    story: DecisionLog,
+    decision_log: DecisionLog,
     progress: RequestProgress,
     started: float,
 ) -> RequestContext:
-    """Return a request that may be served, with its time limit.
+    """Admit a request and return its context, with its deadline.
 
     :raises RequestRefused: if it may not be served.
     """
@@ -232,7 +237,13 @@
     if facts.wait_seconds is not None:
         seconds = min(seconds, facts.wait_seconds)
     request = RequestContext(
-        parts, facts, admitted, story, progress, started, started + seconds
+        parts,
+        facts,
+        admitted,
+        decision_log,
+        progress,
+        started,
+        started + seconds,
     )
-    request.admit_again()
+    request.readmit()
     return request
--- a/src/lifttrestle/internal/fleet/path/request_digest.py
+++ b/src/lifttrestle/internal/fleet/path/request_digest.py
@@ -10,11 +10,11 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""What makes a request the same when it comes again.
+"""Identifies repeats of a request by a digest.
 
-A caller that repeats a request does so with another request id, over another
-connection, at another router, perhaps with another key of its workspace and
-after some events of its stream. What stays is who asks and what for.
+A repeat may have another request id, connection, router, key of the same
+workspace or last event id. The digest therefore covers only the workspace and
+the content of the request.
 """
 
 import hashlib
@@ -22,22 +22,23 @@
 from lifttrestle.internal.fleet.policy.admission import Admitted
 from lifttrestle.internal.http.head import RequestHead
 
-# Two of a million requests that are remembered at the same time have the same
-# digest in one of 37 million fleets.
+# With a million requests tracked at the same time, the probability that any
+# two have the same digest is one in 37 million.
 DIGEST_BYTES = 8
-# Stands in none of the fields: no two requests come to the same bytes.
+# Occurs in none of the fields, so different requests never encode to the same
+# bytes.
 SEPARATOR = b'\0'
 
 
 def build_request_digest(
     admitted: Admitted, host: str, head: RequestHead, body: bytes
 ) -> int:
-    """Return a number that stands for a request, whoever of the fleet has it.
+    """Return a number that identifies a request at all routers of a fleet.
 
-    The body itself never leaves the router that has it. The digest has no
-    secret key: that would have to be read from the store before the first
-    request, and a router that starts while the store is away would know
-    nothing of what the others know.
+    Routers exchange only digests, so that bodies never leave the router that
+    received them. The digest uses no secret key: the key would have to be read
+    from the store before the first request, and a router that starts while the
+    store is unavailable could not use what the other routers know.
     """
     workspace = admitted.workspace
     named = (
--- a/src/lifttrestle/internal/fleet/path/sending.py
+++ b/src/lifttrestle/internal/fleet/path/sending.py
@@ -10,15 +10,15 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Sends a request to its upstream and learns from how the answer begins."""
+"""Sends a request to its upstream and records when its answer begins."""
 
 from lifttrestle.internal.exchange.progress import RequestEvent
-from lifttrestle.internal.fleet.path.answer_forwarding import AnswerPassing
-from lifttrestle.internal.fleet.path.answer_forwarding import Patience
+from lifttrestle.internal.fleet.path.answer_forwarding import AnswerForwarder
+from lifttrestle.internal.fleet.path.answer_forwarding import InactivityTimeout
 from lifttrestle.internal.fleet.path.attempt import begin_attempt
 from lifttrestle.internal.fleet.path.attempt import UpstreamAnswer
 from lifttrestle.internal.fleet.path.candidates import Candidates
-from lifttrestle.internal.fleet.path.decision_log import build_answered
+from lifttrestle.internal.fleet.path.decision_log import build_answered_fields
 from lifttrestle.internal.fleet.path.dialect import UpstreamOrder
 from lifttrestle.internal.fleet.path.order_building import build_order
 from lifttrestle.internal.fleet.path.request_context import RequestContext
@@ -29,27 +29,28 @@
 from lifttrestle.internal.http.head import RequestHead
 from lifttrestle.internal.refusal.kind import ErrorKind
 
-# A repeatable request is taken elsewhere when its upstream has sent nothing
-# to anyone for this many times the route's objective, and never sooner than
-# a second. An upstream that is slow but answers others is waited for.
-SILENT_TARGETS = 2.0
-MIN_SILENT_SECONDS = 1.0
-# An engine that reads from a store which is gone waits some hundred
-# milliseconds for it: a first piece that is later than expected by so much is
-# a reason to look whether the store is there.
+# A repeatable request fails over once its upstream has sent nothing on any
+# connection for this multiple of the route's latency target, and never sooner
+# than after a second. An upstream that is slow but answers other requests is
+# waited for.
+INACTIVITY_TARGET_FACTOR = 2.0
+MIN_INACTIVITY_SECONDS = 1.0
+# An engine that reads from an unreachable cache store waits some hundred
+# milliseconds for it: if an answer begins later than expected by more than
+# this, the store is probed.
 FETCH_LATE_SECONDS = 0.2
-# A prompt with so many tokens to read keeps an engine busy for 30 ms or more,
-# and other routers are told of it at once. Told of with the next regular
-# report, 0.15 s later at the most, it left mean worth at 0.527 in place of
-# 0.561 (three days with trouble, three seeds).
+# A prompt with this many tokens to prefill keeps an engine busy for 30 ms or
+# more and is reported to the other routers at once. When it was reported with
+# the next regular report, at most 0.15 s later, mean worth was 0.527 instead
+# of 0.561 (three days with faults, three seeds).
 LONG_PROMPT_TOKENS = 1000
 
 
 class RequestSender:
-    """Sends one request, as often as its attempts need.
+    """Sends one request, once for each attempt.
 
-    :param body: the whole body.
-    :ivar answered: what the log tells of the last attempt that was answered.
+    :param body: the complete body.
+    :ivar answered_fields: log fields of the last attempt that was answered.
     """
 
     def __init__(
@@ -57,33 +58,36 @@
         request: RequestContext,
         head: RequestHead,
         body: bytes,
-        passing: AnswerPassing,
+        forwarder: AnswerForwarder,
         candidates: Candidates,
     ) -> None:
         self._parts = request.parts
         self._request = request
         self._head = head
         self._body = body
-        self._passing = passing
+        self._forwarder = forwarder
         self._candidates = candidates
-        self.answered: dict[str, object] = {}
-        self._begun_seconds = 0.0
+        self.answered_fields: dict[str, object] = {}
+        self._first_answer_seconds = 0.0
 
     async def send(
         self, chosen: Placement, ticket: int, connection: ClientConnection
-    ) -> tuple[UpstreamAnswer, Patience]:
-        """Send the request and return its answer once that has begun."""
+    ) -> tuple[UpstreamAnswer, InactivityTimeout]:
+        """Send the request and return its answer once it has begun."""
         parts = self._parts
         request = self._request
         upstream = chosen.upstream
-        # Connecting may have taken a while; only what is sent is a retry.
-        await request.check_held_to_send()
-        admitted = request.admit_again()
+        # Checked again because connecting may have taken a while. The retry
+        # budget is charged only here: a failed connection is no retry.
+        await request.check_held_before_send()
+        admitted = request.readmit()
         if request.sends and not self._take_retry():
-            raise request.give_up(
-                ErrorKind.UPSTREAM_FAILED, 'no retry is left to spend'
+            raise request.make_refusal(
+                ErrorKind.UPSTREAM_FAILED, 'the retry budget is used up'
             )
-        order = build_order(request, upstream, self._passing.relay.last_event)
+        order = build_order(
+            request, upstream, self._forwarder.relay.last_event
+        )
         head = parts.dialect.build_head(self._head, order)
         request.sends += 1
         request.runs += 1
@@ -94,11 +98,11 @@
         upstream.note_sent(
             ticket, sent_at, get_urgency(admitted), chosen.unread_tokens
         )
-        self._tell_load(chosen)
-        kept = connection.exchanges > 0
-        parts.metrics.count_connection(request.service, kept)
-        self._tell_sent(upstream, order, kept)
-        patience = self._build_patience()
+        self._report_load(chosen)
+        reused = connection.exchanges > 0
+        parts.metrics.count_connection(request.service, reused)
+        self._log_sent(upstream, order, reused)
+        inactivity_timeout = self._build_inactivity_timeout()
         answer = await begin_attempt(
             parts.clock,
             parts.dialect,
@@ -107,15 +111,15 @@
             head,
             self._body,
             request.facts.request_id,
-            patience.seconds,
-            patience.may_leave,
+            inactivity_timeout.seconds,
+            inactivity_timeout.can_fail_over,
             lambda named: parts.limits.note_answer(upstream, named, sent_at),
         )
         parts.crashes.losses.note_answered(upstream, sent_at)
-        self._note_answer(chosen, ticket, order, answer, sent_at)
-        return answer, patience
+        self._record_answer(chosen, ticket, order, answer, sent_at)
+        return answer, inactivity_timeout
 
-    def _note_answer(
+    def _record_answer(
         self,
         chosen: Placement,
         ticket: int,
@@ -123,26 +127,26 @@
         answer: UpstreamAnswer,
         sent_at: float,
     ) -> None:
-        """Hold an answer that began against what was expected."""
+        """Record when an answer began, compared to the expected time."""
         request = self._request
         heard_at = self._parts.clock.monotonic()
         seconds = heard_at - sent_at
         chosen.upstream.note_heard(ticket, heard_at)
-        self._tell_load(chosen)
+        self._report_load(chosen)
         self._parts.metrics.time_first_byte(
             request.service, seconds, chosen.expected_seconds
         )
-        if not self.answered:
-            self._begun_seconds = heard_at - request.started
-        self.answered = build_answered(
-            chosen, seconds, self._begun_seconds, order
+        if not self.answered_fields:
+            self._first_answer_seconds = heard_at - request.started
+        self.answered_fields = build_answered_fields(
+            chosen, seconds, self._first_answer_seconds, order
         )
         if seconds > chosen.expected_seconds + FETCH_LATE_SECONDS:
             self._suspect_store(order)
-        self._note_engine(chosen, order, answer, seconds)
+        self._record_engine_answer(chosen, order, answer, seconds)
 
-    def _tell_load(self, chosen: Placement) -> None:
-        """Have other routers know of a long prompt that is read, or was."""
+    def _report_load(self, chosen: Placement) -> None:
+        """Report to other routers that a long prefill started or ended."""
         if chosen.unread_tokens >= LONG_PROMPT_TOKENS:
             self._parts.note_load_change()
 
@@ -153,7 +157,7 @@
         self._parts.metrics.count_retry(service, granted)
         return granted
 
-    def _note_engine(
+    def _record_engine_answer(
         self,
         chosen: Placement,
         order: UpstreamOrder,
@@ -176,40 +180,43 @@
             self._parts.sources.note_served(order.cache, generation)
 
     def _suspect_store(self, order: UpstreamOrder) -> None:
-        """Look after a store that an engine may have waited for."""
+        """Have a store probed that an engine may have waited for."""
         if order.cache is not None and order.cache.source:
             self._parts.stores.suspect(order.cache.source)
 
-    def _may_leave(self) -> bool:
+    def _can_fail_over(self) -> bool:
         """Return whether another upstream could take the request over."""
         request = self._request
         budget = self._parts.get_budget(request.service)
         return budget.has_room(
             self._parts.roster.live
-        ) and self._candidates.has_others(request.admitted, request.service)
+        ) and self._candidates.has_alternative(
+            request.admitted, request.service
+        )
 
-    def _build_patience(self) -> Patience:
+    def _build_inactivity_timeout(self) -> InactivityTimeout:
         request = self._request
         route = request.admitted.route
         seconds = None
         if route.repeatable and request.runs < route.max_attempts:
             seconds = max(
-                SILENT_TARGETS * route.target_seconds, MIN_SILENT_SECONDS
+                INACTIVITY_TARGET_FACTOR * route.target_seconds,
+                MIN_INACTIVITY_SECONDS,
             )
-        return Patience(seconds, self._may_leave)
+        return InactivityTimeout(seconds, self._can_fail_over)
 
-    def _tell_sent(
-        self, upstream: FleetUpstream, order: UpstreamOrder, kept: bool
+    def _log_sent(
+        self, upstream: FleetUpstream, order: UpstreamOrder, reused: bool
     ) -> None:
-        name = 'resumed' if self._passing.relay.started else 'sent'
-        self._request.story.add(
+        name = 'resumed' if self._forwarder.relay.started else 'sent'
+        self._request.decision_log.add(
             name,
             instance=upstream.instance,
             address=upstream.entry.address,
             weights=order.weights,
             last_event=order.last_event,
             in_flight=upstream.in_flight,
-            kept_connection=kept,
+            kept_connection=reused,
             attempt=self._request.sends,
             live_routers=self._parts.roster.live,
         )
--- a/src/lifttrestle/internal/fleet/path/upstream_search.py
+++ b/src/lifttrestle/internal/fleet/path/upstream_search.py
@@ -10,13 +10,13 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Finds the upstream that a request is sent to, or refuses it in time."""
+"""Finds the upstream for a request, or refuses the request in time."""
 
 import asyncio
 
 from lifttrestle.errors import RequestRefused
 from lifttrestle.internal.fleet.path.candidates import Candidates
-from lifttrestle.internal.fleet.path.decision_log import build_permit
+from lifttrestle.internal.fleet.path.decision_log import build_permit_fields
 from lifttrestle.internal.fleet.path.request_context import RequestContext
 from lifttrestle.internal.fleet.policy.placement import Placement
 from lifttrestle.internal.fleet.policy.shedding import find_hold_end
@@ -24,63 +24,65 @@
 from lifttrestle.internal.fleet.state.upstream import FleetUpstream
 from lifttrestle.internal.refusal.kind import ErrorKind
 
-HELD_POLL_SECONDS = 0.01
-# Callers that no upstream takes are told to come back over this time at least.
+WAIT_POLL_SECONDS = 0.01
+# Retry times of callers that no rate limit permits are spread over at least
+# this time.
 PERMIT_SPREAD_SECONDS = 0.5
 
 
 async def find_upstream(
     request: RequestContext, candidates: Candidates
 ) -> Placement:
-    """Return an upstream, waiting a little while there is none.
+    """Return an upstream, waiting for a short time if there is none.
 
-    :raises RequestRefused: if there is none, or it would only wait there.
+    :raises RequestRefused: if none becomes available, or the request would
+        wait too long in the queue of the best one.
     """
     clock = request.parts.clock
     until = find_hold_end(
         request.started,
         clock.monotonic(),
         request.admitted.route.target_seconds,
-        request.get_left(),
+        request.get_remaining_seconds(),
         offered=request.sends > 0,
     )
-    held = False
+    waiting = False
     while True:
         placement = candidates.choose(
             request.admitted, request.service, repeated=request.is_repeat
         )
         if placement is not None:
             _check_queue(request, placement)
-            if await _get_permit(request, candidates, placement.upstream):
+            if await _request_permit(request, candidates, placement.upstream):
                 return placement
             continue
         _check_permits(request, candidates, until)
-        waits = candidates.may_become_fit(request.service)
-        if clock.monotonic() >= until or not waits:
+        may_wait = candidates.may_become_fit(request.service)
+        if clock.monotonic() >= until or not may_wait:
             break
-        if not held:
-            held = True
-            request.story.add('held', reason='no upstream is free for it')
-        await asyncio.sleep(HELD_POLL_SECONDS)
-        request.admit_again()
-    raise request.give_up(
-        ErrorKind.NO_UPSTREAM, 'no upstream may serve this now'
+        if not waiting:
+            waiting = True
+            request.decision_log.add('held', reason='no upstream is available')
+        await asyncio.sleep(WAIT_POLL_SECONDS)
+        request.readmit()
+    raise request.make_refusal(
+        ErrorKind.NO_UPSTREAM, 'no upstream may serve this request now'
     )
 
 
-async def _get_permit(
+async def _request_permit(
     request: RequestContext,
     candidates: Candidates,
     upstream: FleetUpstream,
 ) -> bool:
-    """Return whether a request may be sent to an upstream now."""
+    """Return whether the rate limit of an upstream permits a request now."""
     limits = request.parts.limits
     if not limits.is_limited(upstream):
         return True
     permit = await limits.ask(upstream, candidates.rank)
-    request.story.add(
+    request.decision_log.add(
         'permit',
-        **build_permit(upstream, permit, candidates.rank),
+        **build_permit_fields(upstream, permit, candidates.rank),
     )
     return not permit.wait
 
@@ -88,16 +90,17 @@
 def _check_permits(
     request: RequestContext, candidates: Candidates, until: float
 ) -> None:
-    """Refuse at once what no upstream takes in time.
+    """Refuse a request at once if no rate limit permits it in time.
 
-    Callers that are refused together are told times that lie apart.
+    The retry times are randomized, so that callers that are refused together
+    do not all retry at once.
     """
     wait = candidates.find_permit_seconds(request.service)
     if wait is None or request.parts.clock.monotonic() + wait <= until:
         return
-    refused = request.give_up(
+    refused = request.make_refusal(
         ErrorKind.NO_UPSTREAM,
-        'all upstreams name limits, and take no more requests for'
+        'all upstreams are rate limited, and accept no more requests for'
         f' {wait:.2f} s',
     )
     if refused.retry_after:
@@ -107,7 +110,7 @@
 
 
 def _check_queue(request: RequestContext, placement: Placement) -> None:
-    """Refuse at once what would only wait too long at the best engine."""
+    """Refuse a request at once if the best engine would answer too late."""
     if request.facts.generation is None or request.sends:
         return
     expected = placement.expected_seconds
@@ -117,7 +120,7 @@
         return
     raise RequestRefused(
         ErrorKind.OVERLOADED,
-        f'a first piece would take {expected:.2f} s at the least loaded'
-        f' engine, over {shedding.limit:.2f} s',
+        f'the first token would take {expected:.2f} s at the least loaded'
+        f' engine, more than {shedding.limit:.2f} s',
         retry_after=shedding.retry_after,
     )
--- a/src/lifttrestle/internal/fleet/path/watched_work.py
+++ b/src/lifttrestle/internal/fleet/path/watched_work.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Work for a request that ends with its caller, or with this process."""
+"""Runs the work for a request until its caller leaves or the process stops."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -24,68 +24,71 @@
 
 
 async def read_body(connection: ServerConnection, shutdown: Shutdown) -> bytes:
-    """Return the whole body of a request.
+    """Return the complete body of a request.
 
-    :raises RequestRefused: for a faulty body, and for one that is still on
-        its way when the process ends.
+    :raises RequestRefused: for an invalid body, and for one that is
+        incomplete when the process stops.
     """
     loop = asyncio.get_running_loop()
     try:
         async with asyncio.timeout(None) as reading:
 
-            def end(_: object) -> None:
+            def expire(_: object) -> None:
                 reading.reschedule(loop.time())
 
-            shutdown.ending.add_done_callback(end)
+            shutdown.ending.add_done_callback(expire)
             try:
                 return await connection.read_body()
             finally:
-                shutdown.ending.remove_done_callback(end)
+                shutdown.ending.remove_done_callback(expire)
     except TimeoutError:
-        raise _give_up(shutdown, 'the body was complete') from None
+        raise _make_stopping_refusal(
+            shutdown, 'the body was complete'
+        ) from None
 
 
-async def run_watched(
+async def run_while_connected(
     work: Coroutine[None, None, None],
     connection: ServerConnection,
     shutdown: Shutdown,
 ) -> None:
-    """Do the work, and stop at once when the caller leaves.
+    """Run the work, and cancel it at once when the caller disconnects.
 
-    When the process ends, what has no answer is given up; an answer that has
-    begun goes on for as long as the process does.
+    When the process stops, work whose answer has not begun is cancelled; an
+    answer that has begun continues until the process ends.
 
-    :raises CallerGone: if the caller left.
-    :raises RequestRefused: if the process ends first.
+    :raises CallerGone: if the caller disconnected.
+    :raises RequestRefused: if the process stops first.
     """
     working = asyncio.create_task(work)
-    gone = asyncio.create_task(connection.wait_gone())
+    disconnected = asyncio.create_task(connection.wait_gone())
     ending = shutdown.ending
     try:
         await asyncio.wait(
-            {working, gone, ending}, return_when=asyncio.FIRST_COMPLETED
+            {working, disconnected, ending},
+            return_when=asyncio.FIRST_COMPLETED,
         )
         if ending.done() and connection.answer_started:
             await asyncio.wait(
-                {working, gone}, return_when=asyncio.FIRST_COMPLETED
+                {working, disconnected}, return_when=asyncio.FIRST_COMPLETED
             )
         if working.done():
             working.result()
-        elif gone.done():
+        elif disconnected.done():
             raise CallerGone('the caller closed its connection')
         else:
-            raise _give_up(shutdown, 'the answer began')
+            raise _make_stopping_refusal(shutdown, 'the answer began')
     finally:
-        for task in (working, gone):
+        for task in (working, disconnected):
             task.cancel()
-        await asyncio.gather(working, gone, return_exceptions=True)
+        await asyncio.gather(working, disconnected, return_exceptions=True)
 
 
-def _give_up(shutdown: Shutdown, missing: str) -> RequestRefused:
-    """Return the refusal of what this process can't finish."""
+def _make_stopping_refusal(shutdown: Shutdown, missing: str) -> RequestRefused:
+    """Count and return the refusal of a request that can't be finished."""
     shutdown.given_up += 1
     return RequestRefused(
         ErrorKind.STOPPING,
-        f'this router ended before {missing}',
+        f'this router stopped before {missing}',
         retry_after=STOPPING_RETRY_SECONDS,
     )
