--- a/tests/nocover/test_fleet_bad_input.py
+++ b/tests/nocover/test_fleet_bad_input.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Bytes that no honest caller sends, to a router of a fleet."""
+"""Malformed and malicious requests to a fleet router."""
 
 import asyncio
 import unittest
@@ -32,7 +32,7 @@
 
 class TestBadInput(unittest.IsolatedAsyncioTestCase):
     async def send(self, data, *, end=True):
-        """Return the answer's status and what upstreams ran."""
+        """Return the status of the answer and what upstreams ran."""
         async with run_fleet() as fleet:
             address = str(fleet.router.callers_address)
             answer = await asyncio.to_thread(exchange, address, data, end=end)
@@ -105,7 +105,7 @@
         for name in ('cache-salt', 'kv-from', 'hold', 'pin-ms', 'kv-backup'):
             self.assertEqual(head.get_header(name), '', name)
 
-    async def test_number_that_is_none(self):
+    async def test_header_with_invalid_number(self):
         status, runs = await self.send(
             HEAD
             + b'Connection: close\r\nDeadline-Ms: soon\r\n'
--- a/tests/nocover/test_fleet_callers.py
+++ b/tests/nocover/test_fleet_callers.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Callers that leave, at each step of their request, and floods of them."""
+"""Callers that disconnect at each stage of a request, and floods of them."""
 
 import asyncio
 import contextlib
@@ -29,13 +29,13 @@
 PLAIN = ('p1', 'p2')
 ENGINES = ('e1', 'e2')
 MANY = 40
-# More than the listener's queue of connections that are not yet accepted.
+# More connections than fit into the listener's backlog.
 FLOOD = 700
 PATIENT = make_route('patient', 'idempotent', target_latency_ms=7900)
 
 
 async def send(fleet, path, request_id, *headers):
-    """Send a request and return its connection, without an answer yet."""
+    """Send a request and return its connection before it is answered."""
     caller = await ClientConnection.open(fleet.router.callers_address, 20.0)
     sent = (
         ('host', 'shop.example'),
@@ -60,7 +60,7 @@
 
 @contextlib.contextmanager
 def hold_connections():
-    """Give an address at which connections are neither made nor refused."""
+    """Yield an address at which connects neither succeed nor are refused."""
     with contextlib.ExitStack() as stack:
         listener = stack.enter_context(socket.socket())
         listener.bind(('127.0.0.1', 0))
@@ -168,8 +168,9 @@
     async def test_ready_router_takes_connections_in_a_flood(self):
         async with run_fleet() as fleet:
             address = fleet.router.callers_address
-            # Callers and router share one loop here, which a flood holds for
-            # seconds on a busy machine: longer than a view may be old.
+            # Callers and the router share one event loop here. On a busy
+            # machine a flood blocks it for seconds, longer than the greatest
+            # permitted age of the view.
             fleet.clock.hold()
             idle = await asyncio.gather(
                 *(
--- a/tests/nocover/test_fleet_exchange.py
+++ b/tests/nocover/test_fleet_exchange.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""One request through a router, with real sockets and faulty upstreams."""
+"""Requests through a fleet router, with real sockets and faulty upstreams."""
 
 import asyncio
 import unittest
@@ -41,7 +41,7 @@
 
 
 class TestPlainService(unittest.IsolatedAsyncioTestCase):
-    async def test_expectation_is_held_against_the_answer(self):
+    async def test_expected_latency_is_compared_with_the_answer(self):
         async with run_fleet() as fleet:
             await fleet.call('/safe/a')
             count = fleet.router.registry.get_sample_value(
@@ -68,7 +68,7 @@
         self.assertEqual(run.head.get_header('tenant'), 'acme')
         self.assertEqual(run.head.get_header('authorization'), '')
 
-    async def test_lost_answer_of_a_once_request_is_no_promise(self):
+    async def test_lost_answer_of_a_once_request_may_have_run(self):
         async with run_fleet() as fleet:
             script_all(fleet, PLAIN, Behaviour.LOSE)
             answer = await fleet.call('/once/a', method='POST')
@@ -76,17 +76,19 @@
         self.assertEqual(answer.status, 502)
         self.assertEqual(len(runs), 1)
 
-    async def test_lost_answer_of_an_idempotent_request_is_made_up_for(self):
+    async def test_lost_answer_of_an_idempotent_request_is_retried(self):
         async with run_fleet() as fleet:
             fleet.upstreams['p1'].script.append(Behaviour.LOSE)
             fleet.upstreams['p2'].script.append(Behaviour.LOSE)
             first = await fleet.call('/safe/a')
             second = await fleet.call('/safe/a', request_id='r2')
-        # Both upstreams lose their first answer: the first request fails
+        # Both upstreams drop their first answer: the first request fails
         # after two attempts, the second is served.
         self.assertEqual((first.status, second.status), (502, 200))
 
-    async def test_declined_request_goes_on_and_is_refused_truly(self):
+    async def test_declined_request_is_retried_and_then_refused_as_not_run(
+        self,
+    ):
         async with run_fleet() as fleet:
             script_all(fleet, PLAIN, *[Behaviour.DECLINE] * 4)
             refused = await fleet.call('/once/a', method='POST')
@@ -99,7 +101,7 @@
         self.assertEqual(served.status, 200)
         self.assertEqual(len(runs), 1)
 
-    async def test_upstream_that_ran_and_answers_busy_makes_no_promise(self):
+    async def test_busy_answer_of_an_upstream_may_have_run(self):
         async with run_fleet() as fleet:
             script_all(fleet, PLAIN, Behaviour.LIE_BUSY)
             answer = await fleet.call('/once/a', method='POST')
@@ -112,7 +114,7 @@
         self.assertEqual(answer.status, 500)
         self.assertIn(('server-stamp', '3e1b.07'), answer.headers)
 
-    async def test_answers_that_prove_nothing_are_not_passed_on(self):
+    async def test_unverified_answers_are_not_forwarded(self):
         for behaviour in (Behaviour.UNSTAMPED, Behaviour.ENCODED):
             with self.subTest(behaviour=behaviour):
                 async with run_fleet() as fleet:
@@ -137,9 +139,9 @@
         async with run_fleet() as fleet:
             await fleet.call('/safe/a', headers=(('deadline-ms', '700'),))
             (run,) = list_runs(fleet, PLAIN)
-        handed = int(run.head.get_header('deadline-ms'))
-        self.assertLessEqual(handed, 700)
-        self.assertGreater(handed, 100)
+        forwarded = int(run.head.get_header('deadline-ms'))
+        self.assertLessEqual(forwarded, 700)
+        self.assertGreater(forwarded, 100)
 
     async def test_caller_that_leaves_frees_the_upstream(self):
         async with run_fleet() as fleet:
@@ -190,9 +192,12 @@
 
 
 class TestConnections(unittest.IsolatedAsyncioTestCase):
-    async def test_regression_failed_and_declined_answers_keep_theirs(self):
-        # The connection was closed after each answer that was no success:
-        # a seventh of the answers of one service, each costing a new one.
+    async def test_regression_failed_and_declined_answers_keep_connections(
+        self,
+    ):
+        # The connection was closed after each answer that was not a success,
+        # which for one service was a seventh of all answers, each followed by
+        # a new connection.
         async with run_fleet() as fleet:
             for name in PLAIN:
                 fleet.upstreams[name].script.extend(
@@ -206,14 +211,15 @@
 
 class TestRetryBudget(unittest.IsolatedAsyncioTestCase):
     async def test_regression_connection_that_fails_costs_no_retry(self):
-        # A retry was taken before the connection was there: upstreams that
-        # took none used up the budget, though nothing had been sent twice.
+        # The retry budget was charged before the connection was established,
+        # so unreachable upstreams used it up although nothing had been sent
+        # twice.
         async with run_fleet() as fleet:
             known = fleet.router.directory
             known.get('p1').in_flight += 5
             known.get('p1').pool.close()
             await fleet.upstreams['p1'].stop()
-            # Turned away by p2, not connected to p1, then served by p2.
+            # Declined by p2, connection to p1 fails, then served by p2.
             fleet.upstreams['p2'].script.append(Behaviour.DECLINE)
             answer = await fleet.call('/once/a', method='POST')
             spent = fleet.router.get_budget('plain').spent
@@ -222,14 +228,15 @@
 
 
 class TestReach(unittest.IsolatedAsyncioTestCase):
-    """One upstream, and the store beside it, take no connections."""
+    """Upstreams and a cache store that accept no connections."""
 
     async def test_regression_engines_do_not_wait_for_a_store_that_is_gone(
         self,
     ):
-        # Each request told its engine to read from a store behind the cut.
-        # Half of all requests took over 338 to 390 ms while it lasted, and
-        # 70 to 99 ms since (three windows of two seconds, one day).
+        # Each request made its engine read from a cache store that was cut
+        # off by a network partition. The median latency meanwhile was 338 to
+        # 390 ms, and 70 to 99 ms after the fix (three windows of two seconds,
+        # one day).
         async with run_fleet() as fleet:
             await fleet.generate('text')
             (first,) = list_runs(fleet, ENGINES)
@@ -251,11 +258,12 @@
     async def test_regression_refused_at_once_when_none_takes_connections(
         self,
     ):
-        # Each of four upstreams behind a cut was tried in turn, 0.3 s each.
+        # Each of four upstreams behind a network partition was tried in turn,
+        # for 0.3 s each.
         async with run_fleet() as fleet:
             for upstream in fleet.router.directory:
                 upstream.reach.note_unreached()
-                # No probe is to find out otherwise meanwhile.
+                # Keep probes from resetting this during the test.
                 upstream.reach.probed_at = float('inf')
             answer = await fleet.call('/once/a', method='POST')
             arrivals = [fleet.upstreams[name].arrivals for name in PLAIN]
@@ -264,12 +272,12 @@
         self.assertEqual(arrivals, [[], []])
 
 
-class TestTruth(unittest.IsolatedAsyncioTestCase):
-    async def test_regression_refusal_after_a_lost_attempt_is_no_promise(
+class TestRefusals(unittest.IsolatedAsyncioTestCase):
+    async def test_regression_refusal_after_a_lost_attempt_may_have_run(
         self,
     ):
-        # The first attempt may have run; the view then became too old, and
-        # the answer was 503, which promises that nothing ran.
+        # The first attempt may have run. The view then became stale, and the
+        # request was refused with 503, which promises that it did not run.
         async with run_fleet() as fleet:
             script_all(fleet, PLAIN, Behaviour.LOSE)
             watch = fleet.router._operator_watch
@@ -316,7 +324,7 @@
         await fleet.generate('text', request_id='r1')
         return next(name for name in ENGINES if fleet.upstreams[name].runs)
 
-    async def test_stream_that_may_not_be_resumed_looks_cut(self):
+    async def test_stream_that_may_not_be_resumed_is_aborted(self):
         async with run_fleet() as fleet:
             script_all(fleet, ENGINES, Behaviour.CUT_IN_EVENT)
             with self.assertRaises(UpstreamLost):
@@ -343,7 +351,9 @@
             now = asyncio.get_running_loop().time()
             engine.note_sent(-1, now, unread=tokens)
 
-    async def test_request_that_would_be_late_is_told_when_to_come_back(self):
+    async def test_request_that_would_be_late_is_told_when_to_come_back(
+        self,
+    ):
         async with run_fleet() as fleet:
             await self.load(fleet, 60_000)
             answer = await fleet.generate('text')
@@ -353,8 +363,8 @@
         self.assertEqual(arrivals, [[], []])
 
     async def test_caller_that_came_back_is_served_as_soon_as_it_can_be(self):
-        # It was served late at once, by joining a queue of over a second:
-        # then all that came after it were late as well.
+        # A retried request was queued at once behind more than a second of
+        # work, which made it late and delayed all later requests as well.
         async with run_fleet() as fleet:
             await self.load(fleet, 60_000)
             refused = await fleet.generate('text', wait_ms=6000)
@@ -386,15 +396,16 @@
         self.assertEqual(runs, [])
 
     async def test_regression_start_whose_address_is_taken_gets_nothing(self):
-        # The entry of a crashed start stays for seconds. Each request was
-        # sent there, turned away, and took a retry from the budget.
+        # The table entry of a crashed start remains for seconds. Each request
+        # was sent to its address, declined by the new start there, and charged
+        # to the retry budget.
         async with run_fleet() as fleet:
-            back = fleet.upstreams['p1']
-            back.instance = 'i-new'
+            restarted = fleet.upstreams['p1']
+            restarted.instance = 'i-new'
             for number in range(12):
                 answer = await fleet.call('/safe/a', request_id=str(number))
                 self.assertEqual(answer.status, 200)
-            self.assertLessEqual(len(back.arrivals), 1)
+            self.assertLessEqual(len(restarted.arrivals), 1)
 
     async def test_new_weights_are_brought_to_every_engine(self):
         async with run_fleet() as fleet:
@@ -406,7 +417,8 @@
             orders = [order for engine in engines for order in engine.orders]
         self.assertEqual([order['version'] for order in orders], [2, 2])
         self.assertEqual({order['holder'] for order in orders}, {'front-a-1'})
-        # Else an engine would begin nothing until its longest stream ends.
+        # In other modes an engine starts no request until its longest stream
+        # has ended.
         modes = {order['switch_mode'] for order in orders}
         self.assertEqual(modes, {'retain'})
         fences = [order['fence'] for order in orders]
