--- a/src/lifttrestle/internal/fleet/limits/held_limit.py
+++ b/src/lifttrestle/internal/fleet/limits/held_limit.py
@@ -65,7 +65,7 @@
         never = math.isinf(self.belief.ended_at)
         return self.belief.rate is None and never
 
-    def is_closed(self, rank: int, now: float) -> bool:
+    def is_refused(self, rank: int, now: float) -> bool:
         """Return whether a request is known to get no permit now."""
         return rank >= self.closed_rank and now < self.closed_until
 
--- a/src/lifttrestle/internal/fleet/limits/memory.py
+++ b/src/lifttrestle/internal/fleet/limits/memory.py
@@ -24,11 +24,11 @@
 from lifttrestle.internal.clock.clock import Clock
 from lifttrestle.internal.fleet.limits.allocators import PermitAllocators
 from lifttrestle.internal.fleet.limits.held_limit import HeldLimit
-from lifttrestle.internal.fleet.limits.messages import LimitCall
-from lifttrestle.internal.fleet.limits.messages import LimitNews
+from lifttrestle.internal.fleet.limits.messages import LimitSyncRequest
+from lifttrestle.internal.fleet.limits.messages import LimitUpdate
 from lifttrestle.internal.fleet.limits.messages import PermitAnswer
 from lifttrestle.internal.fleet.limits.messages import PermitQuery
-from lifttrestle.internal.fleet.limits.permits import Permit
+from lifttrestle.internal.fleet.limits.permits import PermitDecision
 from lifttrestle.internal.fleet.limits.permits import PermitExchange
 from lifttrestle.internal.fleet.limits.registry import LimitRegistry
 from lifttrestle.internal.fleet.limits.telling import LimitTelling
@@ -44,7 +44,7 @@
 LOOK_SECONDS = 0.5
 # Between two looks at whether others have told of their limits.
 SETTLE_LOOK_SECONDS = 0.05
-FREE = Permit(0.0)
+FREE = PermitDecision(0.0)
 Hear = Callable[[type, Callable[..., None]], None]
 
 
@@ -96,8 +96,8 @@
         :param send: sends a message to the router with a key.
         :param count: is told of each question for a permit how it ended.
         """
-        hear(LimitNews, self._telling.take_news)
-        hear(LimitCall, self._telling.take_call)
+        hear(LimitUpdate, self._telling.take_news)
+        hear(LimitSyncRequest, self._telling.take_call)
         hear(PermitQuery, self._exchange.take_query)
         hear(PermitAnswer, self._exchange.take_answer)
         self._telling.send = send
@@ -144,21 +144,23 @@
         """Return whether a request needs a permit to be sent there."""
         return self._registry.find_limited(upstream) is not None
 
-    def is_closed(self, upstream: FleetUpstream, rank: int) -> bool:
+    def is_refused(self, upstream: FleetUpstream, rank: int) -> bool:
         """Return whether a request is known to get no permit now."""
         held = self._registry.find_limited(upstream)
         if held is None:
             return False
-        return held.is_closed(rank, self._clock.monotonic())
+        return held.is_refused(rank, self._clock.monotonic())
 
-    def get_wait(self, upstream: FleetUpstream) -> float:
+    def get_retry_delay(self, upstream: FleetUpstream) -> float:
         """Return the seconds until a permit may be asked for again."""
         held = self._registry.find_limited(upstream)
         if held is None:
             return 0.0
         return max(held.closed_until - self._clock.monotonic(), 0.0)
 
-    async def ask(self, upstream: FleetUpstream, rank: int) -> Permit:
+    async def request_permit(
+        self, upstream: FleetUpstream, rank: int
+    ) -> PermitDecision:
         """Return whether one request may be sent now.
 
         :param rank: of the request, as ``rank_request`` tells it.
@@ -166,11 +168,11 @@
         held = self._registry.find_limited(upstream)
         if held is None:
             return FREE
-        return await self._exchange.ask(held, rank)
+        return await self._exchange.request_permit(held, rank)
 
-    def is_settled(self) -> bool:
+    def is_synced(self) -> bool:
         """Return whether others had the time to tell of their limits."""
-        return self._telling.is_settled()
+        return self._telling.is_synced()
 
     async def run(self, beat: Beat) -> None:
         """Tell and look again, for ever."""
@@ -179,7 +181,7 @@
         )
 
     async def _settle(self) -> None:
-        while not self.is_settled():
+        while not self.is_synced():
             await self._clock.sleep(SETTLE_LOOK_SECONDS)
 
     async def _run_looking(self, beat: Beat) -> None:
--- a/src/lifttrestle/internal/fleet/limits/messages.py
+++ b/src/lifttrestle/internal/fleet/limits/messages.py
@@ -43,7 +43,7 @@
     recovering: bool = False
 
 
-class LimitNews(msgspec.Struct, frozen=True, array_like=True, tag=5):
+class LimitUpdate(msgspec.Struct, frozen=True, array_like=True, tag=5):
     """What is believed; the same may be told again, and in any order.
 
     :ivar whole: it was asked for, and holds all that needs permits.
@@ -54,7 +54,7 @@
     whole: bool = False
 
 
-class LimitCall(msgspec.Struct, frozen=True, array_like=True, tag=6):
+class LimitSyncRequest(msgspec.Struct, frozen=True, array_like=True, tag=6):
     """Asks for all that the hearer believes."""
 
     vm: str
--- a/src/lifttrestle/internal/fleet/limits/permits.py
+++ b/src/lifttrestle/internal/fleet/limits/permits.py
@@ -34,7 +34,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Permit:
+class PermitDecision:
     """What became of a question, and what it rested on, for the log.
 
     :ivar wait: seconds after which to ask again, zero if it may be sent.
@@ -75,7 +75,9 @@
         self._questions = PermitQuestions(clock)
         self.count: Callable[[str], None] = lambda result: None
 
-    async def ask(self, held: HeldLimit, rank: int) -> Permit:
+    async def request_permit(
+        self, held: HeldLimit, rank: int
+    ) -> PermitDecision:
         """Return whether one request may be sent now.
 
         :param rank: of the request, as ``rank_request`` tells it.
@@ -90,7 +92,9 @@
         age = now - belief.named.end
         return dataclasses.replace(permit, rate=belief.rate, age=age)
 
-    async def _ask_allocators(self, held: HeldLimit, rank: int) -> Permit:
+    async def _ask_allocators(
+        self, held: HeldLimit, rank: int
+    ) -> PermitDecision:
         for key in self._allocators.list_sound(held.data_centre):
             answer = await self._ask_one(held, rank, key)
             if answer is None:
@@ -103,8 +107,8 @@
             if answer.free:
                 self._registry.free(held, key)
             self.count('refused' if answer.wait else 'granted')
-            return Permit(answer.wait, key)
-        return Permit(UNKNOWN_SECONDS)
+            return PermitDecision(answer.wait, key)
+        return PermitDecision(UNKNOWN_SECONDS)
 
     async def _ask_one(
         self, held: HeldLimit, rank: int, key: str
--- a/src/lifttrestle/internal/fleet/limits/telling.py
+++ b/src/lifttrestle/internal/fleet/limits/telling.py
@@ -25,9 +25,9 @@
 from lifttrestle.internal.clock.clock import Clock
 from lifttrestle.internal.fleet.limits.allocators import PermitAllocators
 from lifttrestle.internal.fleet.limits.held_limit import HeldLimit
-from lifttrestle.internal.fleet.limits.messages import LimitCall
 from lifttrestle.internal.fleet.limits.messages import LimitItem
-from lifttrestle.internal.fleet.limits.messages import LimitNews
+from lifttrestle.internal.fleet.limits.messages import LimitSyncRequest
+from lifttrestle.internal.fleet.limits.messages import LimitUpdate
 from lifttrestle.internal.fleet.limits.messages import PermitAnswer
 from lifttrestle.internal.fleet.limits.messages import PermitQuery
 from lifttrestle.internal.fleet.limits.registry import LimitRegistry
@@ -48,7 +48,7 @@
 ASK_SECONDS = 0.1
 # Items of one message: some 40 bytes each, of at most 8 KiB.
 MAX_ITEMS = 100
-Message = LimitNews | LimitCall | PermitQuery | PermitAnswer
+Message = LimitUpdate | LimitSyncRequest | PermitQuery | PermitAnswer
 Send = Callable[[Message, str], None]
 
 
@@ -99,13 +99,13 @@
             until = self._clock.monotonic() + STAND_IN_SECONDS
             self._standing_in_until[held.data_centre] = until
 
-    def take_call(self, call: LimitCall) -> None:
+    def take_call(self, call: LimitSyncRequest) -> None:
         """Tell a router that has just started all limits."""
         limited = [held for held in self._registry if held.needs_permits]
         key = f'{ROUTER_PREFIX}{call.vm}'
         self._send_items(self._build(limited), [key], whole=True)
 
-    def take_news(self, news: LimitNews) -> None:
+    def take_news(self, news: LimitUpdate) -> None:
         """Take in what another router believes."""
         self._settled = self._settled or news.whole
         for item in news.items:
@@ -120,7 +120,7 @@
             if changed and self._allocators.is_first(held.data_centre):
                 self.tell_soon(held)
 
-    def is_settled(self) -> bool:
+    def is_synced(self) -> bool:
         """Return whether others had the time to tell of their limits."""
         if self._settled:
             return True
@@ -138,7 +138,7 @@
         if now - self._asked_at >= ASK_SECONDS:
             self._asked_at = now
             for key in others:
-                self.send(LimitCall(self._vm), key)
+                self.send(LimitSyncRequest(self._vm), key)
         return not others or now - self._asking_since > SETTLE_SECONDS
 
     async def run(self) -> None:
@@ -206,4 +206,4 @@
         for first in range(0, max(len(items), 1), MAX_ITEMS):
             part = items[first : first + MAX_ITEMS]
             for key in keys:
-                self.send(LimitNews(self._vm, part, whole), key)
+                self.send(LimitUpdate(self._vm, part, whole), key)
--- a/src/lifttrestle/internal/fleet/path/candidates.py
+++ b/src/lifttrestle/internal/fleet/path/candidates.py
@@ -105,7 +105,7 @@
         )
         if repeated and free:
             return free
-        return [item for item in fit if not limits.is_closed(item, self.rank)]
+        return [item for item in fit if not limits.is_refused(item, self.rank)]
 
     def find_permit_seconds(self, service: str) -> float | None:
         """Return when the first limited upstream may take one more request.
@@ -116,7 +116,7 @@
         left = self._list_left(service)
         if not left or not all(limits.is_limited(item) for item in left):
             return None
-        return min(limits.get_wait(item) for item in left)
+        return min(limits.get_retry_delay(item) for item in left)
 
     def list_fit(
         self, admitted: Admitted, service: str
--- a/src/lifttrestle/internal/fleet/path/story.py
+++ b/src/lifttrestle/internal/fleet/path/story.py
@@ -21,7 +21,7 @@
 import math
 
 from lifttrestle.internal.clock.clock import Clock
-from lifttrestle.internal.fleet.limits.permits import Permit
+from lifttrestle.internal.fleet.limits.permits import PermitDecision
 from lifttrestle.internal.fleet.path.dialect import RequestFacts
 from lifttrestle.internal.fleet.path.dialect import UpstreamOrder
 from lifttrestle.internal.fleet.policy.admission import Admitted
@@ -117,7 +117,7 @@
 
 
 def build_permit(
-    upstream: FleetUpstream, permit: Permit, rank: int
+    upstream: FleetUpstream, permit: PermitDecision, rank: int
 ) -> dict[str, object]:
     """Return what the log tells of a limited upstream that was asked for.
 
--- a/src/lifttrestle/internal/fleet/path/upstream_search.py
+++ b/src/lifttrestle/internal/fleet/path/upstream_search.py
@@ -77,7 +77,7 @@
     limits = request.parts.limits
     if not limits.is_limited(upstream):
         return True
-    permit = await limits.ask(upstream, candidates.rank)
+    permit = await limits.request_permit(upstream, candidates.rank)
     request.story.add(
         'permit',
         **build_permit(upstream, permit, candidates.rank),
--- a/src/lifttrestle/internal/fleet/process.py
+++ b/src/lifttrestle/internal/fleet/process.py
@@ -243,7 +243,7 @@
         self._ready = ReadyDoor(
             self._parts,
             lambda: (
-                self._routers_watch.copy.loaded and self.limits.is_settled()
+                self._routers_watch.copy.loaded and self.limits.is_synced()
             ),
         )
         self._callers = HttpServer(
--- a/src/lifttrestle/internal/fleet/state/load_messages.py
+++ b/src/lifttrestle/internal/fleet/state/load_messages.py
@@ -20,8 +20,8 @@
 import msgspec
 
 from lifttrestle.internal.fleet.crashes.messages import CrashNews
-from lifttrestle.internal.fleet.limits.messages import LimitCall
-from lifttrestle.internal.fleet.limits.messages import LimitNews
+from lifttrestle.internal.fleet.limits.messages import LimitSyncRequest
+from lifttrestle.internal.fleet.limits.messages import LimitUpdate
 from lifttrestle.internal.fleet.limits.messages import PermitAnswer
 from lifttrestle.internal.fleet.limits.messages import PermitQuery
 from lifttrestle.internal.fleet.usage.messages import LevelEntry
@@ -90,7 +90,7 @@
     levels: list[LevelEntry] | None = None
 
 
-LimitMessage = LimitNews | LimitCall | PermitQuery | PermitAnswer
+LimitMessage = LimitUpdate | LimitSyncRequest | PermitQuery | PermitAnswer
 LoadMessage = LoadReport | GroupSum | FleetSum | CrashNews | LimitMessage
 
 
--- a/tests/cover/test_limit_memory.py
+++ b/tests/cover/test_limit_memory.py
@@ -19,7 +19,7 @@
 
 from lifttrestle.internal.fleet.limits.allocators import PermitAllocators
 from lifttrestle.internal.fleet.limits.messages import LimitItem
-from lifttrestle.internal.fleet.limits.messages import LimitNews
+from lifttrestle.internal.fleet.limits.messages import LimitUpdate
 from lifttrestle.internal.fleet.policy.limit_belief import NamedLimit
 from lifttrestle.internal.fleet.state.load_messages import read_message
 from lifttrestle.internal.fleet.state.rows import VersionedRow
@@ -151,8 +151,10 @@
         upstream = self.design.get_upstream(router, 0)
         limits = self.design.limits[router]
         granted = False
-        if not limits.is_closed(upstream, NEEDY):
-            asked = asyncio.ensure_future(limits.ask(upstream, NEEDY))
+        if not limits.is_refused(upstream, NEEDY):
+            asked = asyncio.ensure_future(
+                limits.request_permit(upstream, NEEDY)
+            )
             while not asked.done():
                 await self.play.pass_time(0.01)
             granted = not asked.result().wait
@@ -184,12 +186,12 @@
 
     async def test_news_of_an_unknown_start_are_passed_over(self):
         item = LimitItem(12345, 1.0, 0.1, 0.1)
-        self.design.limits[0]._telling.take_news(LimitNews('r1', [item]))
+        self.design.limits[0]._telling.take_news(LimitUpdate('r1', [item]))
         self.assertEqual(len(self.design.limits[0]), 0)
 
     async def test_messages_that_are_none_are_refused(self):
         for rate in (-1.0, float('nan'), float('inf')):
-            news = LimitNews('r1', [LimitItem(1, rate, 0.0, 0.0)])
+            news = LimitUpdate('r1', [LimitItem(1, rate, 0.0, 0.0)])
             with self.assertRaises(ValueError):
                 read_message(msgspec.msgpack.encode(news))
 
@@ -198,9 +200,9 @@
         await self.play.pass_time(KNOWN_SECONDS)
         number = self.list_others()[0]
         self.design.restart(number)
-        self.assertFalse(self.design.limits[number].is_settled())
+        self.assertFalse(self.design.limits[number].is_synced())
         await self.play.pass_time(0.05)
-        self.assertTrue(self.design.limits[number].is_settled())
+        self.assertTrue(self.design.limits[number].is_synced())
         self.assertTrue(self.design.is_limited(number, 0))
 
     async def test_regression_start_heard_limits_before_it_knew_upstreams(
@@ -214,14 +216,14 @@
         listed = False
         self.design.restart(number, lambda: listed)
         await self.play.pass_time(0.5)
-        self.assertFalse(self.design.limits[number].is_settled())
+        self.assertFalse(self.design.limits[number].is_synced())
         for upstream in range(self.play.settings.upstreams):
             row = self.design.make_row(upstream)
             self.design.directories[number].take(row)
         listed = True
-        self.assertFalse(self.design.limits[number].is_settled())
+        self.assertFalse(self.design.limits[number].is_synced())
         await self.play.pass_time(0.1)
-        self.assertTrue(self.design.limits[number].is_settled())
+        self.assertTrue(self.design.limits[number].is_synced())
         self.assertTrue(self.design.is_limited(number, 0))
         self.assertIsNotNone(known.get('p0'))
 
@@ -233,7 +235,7 @@
             if other != number:
                 self._hold_up(other, 0.5)
         self.design.restart(number)
-        while not self.design.limits[number].is_settled():
+        while not self.design.limits[number].is_synced():
             await self.play.pass_time(0.01)
         self.assertTrue(self.design.is_limited(number, 0))
 
@@ -256,7 +258,7 @@
         self.play.takers.update(takers)
         self.play.takers[number] = own
         await self.play.pass_time(0.3)
-        self.assertTrue(self.design.limits[number].is_settled())
+        self.assertTrue(self.design.limits[number].is_synced())
         self.assertTrue(self.design.is_limited(number, 0))
 
     async def test_start_that_nobody_answers_is_ready_soon(self):
@@ -264,6 +266,6 @@
             self.play.takers[number] = lambda data: None
         self.design.restart(0)
         await self.play.pass_time(0.9)
-        self.assertFalse(self.design.limits[0].is_settled())
+        self.assertFalse(self.design.limits[0].is_synced())
         await self.play.pass_time(0.2)
-        self.assertTrue(self.design.limits[0].is_settled())
+        self.assertTrue(self.design.limits[0].is_synced())
--- a/tests/support/played_limits.py
+++ b/tests/support/played_limits.py
@@ -276,9 +276,9 @@
         limits = self.limits[router]
         target = self.get_upstream(router, upstream)
         rank = rank_request(URGENCY, has_others=has_others, repeated=False)
-        if limits.is_closed(target, rank):
+        if limits.is_refused(target, rank):
             return False
-        return not (await limits.ask(target, rank)).wait
+        return not (await limits.request_permit(target, rank)).wait
 
     def note_answer(self, router, upstream, rate, sent_at):
         """Take in what an answer names."""
