--- a/src/lifttrestle/internal/fleet/limits/listing.py
+++ b/src/lifttrestle/internal/fleet/limits/listing.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from lifttrestle.internal.fleet.limits.held_limit import HeldLimit
+from lifttrestle.internal.fleet.limits.limit_state import HeldLimit
 
 
 class ListedLimit(msgspec.Struct, frozen=True):
--- a/src/lifttrestle/internal/fleet/limits/memory.py
+++ b/src/lifttrestle/internal/fleet/limits/memory.py
@@ -23,7 +23,7 @@
 from lifttrestle.internal.clock.beat import Beat
 from lifttrestle.internal.clock.clock import Clock
 from lifttrestle.internal.fleet.limits.allocators import PermitAllocators
-from lifttrestle.internal.fleet.limits.held_limit import HeldLimit
+from lifttrestle.internal.fleet.limits.limit_state import HeldLimit
 from lifttrestle.internal.fleet.limits.messages import LimitSyncRequest
 from lifttrestle.internal.fleet.limits.messages import LimitUpdate
 from lifttrestle.internal.fleet.limits.messages import PermitAnswer
@@ -31,8 +31,8 @@
 from lifttrestle.internal.fleet.limits.permits import PermitDecision
 from lifttrestle.internal.fleet.limits.permits import PermitExchange
 from lifttrestle.internal.fleet.limits.registry import LimitRegistry
-from lifttrestle.internal.fleet.limits.telling import LimitTelling
-from lifttrestle.internal.fleet.limits.telling import Send
+from lifttrestle.internal.fleet.limits.replicator import LimitTelling
+from lifttrestle.internal.fleet.limits.replicator import Send
 from lifttrestle.internal.fleet.policy.limit_belief import LimitSign
 from lifttrestle.internal.fleet.policy.limit_belief import NamedLimit
 from lifttrestle.internal.fleet.state.directory import UpstreamDirectory
--- a/src/lifttrestle/internal/fleet/limits/permits.py
+++ b/src/lifttrestle/internal/fleet/limits/permits.py
@@ -17,12 +17,12 @@
 
 from lifttrestle.internal.clock.clock import Clock
 from lifttrestle.internal.fleet.limits.allocators import PermitAllocators
-from lifttrestle.internal.fleet.limits.held_limit import HeldLimit
+from lifttrestle.internal.fleet.limits.limit_state import HeldLimit
 from lifttrestle.internal.fleet.limits.messages import PermitAnswer
 from lifttrestle.internal.fleet.limits.messages import PermitQuery
-from lifttrestle.internal.fleet.limits.questions import PermitQuestions
+from lifttrestle.internal.fleet.limits.pending_queries import PermitQuestions
 from lifttrestle.internal.fleet.limits.registry import LimitRegistry
-from lifttrestle.internal.fleet.limits.telling import LimitTelling
+from lifttrestle.internal.fleet.limits.replicator import LimitTelling
 from lifttrestle.internal.fleet.policy.limit_permits import FIRST_CHOICE_RANK
 from lifttrestle.internal.fleet.state.directory import UpstreamDirectory
 from lifttrestle.internal.fleet.state.roster import Roster
--- a/src/lifttrestle/internal/fleet/limits/registry.py
+++ b/src/lifttrestle/internal/fleet/limits/registry.py
@@ -16,8 +16,8 @@
 
 from lifttrestle.internal.clock.clock import Clock
 from lifttrestle.internal.fleet.limits.allocators import PermitAllocators
-from lifttrestle.internal.fleet.limits.held_limit import HeldLimit
-from lifttrestle.internal.fleet.limits.held_limit import read_sign
+from lifttrestle.internal.fleet.limits.limit_state import HeldLimit
+from lifttrestle.internal.fleet.limits.limit_state import read_sign
 from lifttrestle.internal.fleet.limits.messages import LimitItem
 from lifttrestle.internal.fleet.policy.limit_belief import LimitChange
 from lifttrestle.internal.fleet.policy.limit_belief import LimitSign
--- a/src/lifttrestle/internal/fleet/limits/telling.py
+++ b/src/lifttrestle/internal/fleet/limits/replicator.py
@@ -24,7 +24,7 @@
 
 from lifttrestle.internal.clock.clock import Clock
 from lifttrestle.internal.fleet.limits.allocators import PermitAllocators
-from lifttrestle.internal.fleet.limits.held_limit import HeldLimit
+from lifttrestle.internal.fleet.limits.limit_state import HeldLimit
 from lifttrestle.internal.fleet.limits.messages import LimitItem
 from lifttrestle.internal.fleet.limits.messages import LimitSyncRequest
 from lifttrestle.internal.fleet.limits.messages import LimitUpdate
--- a/tests/nocover/test_limits_command.py
+++ b/tests/nocover/test_limits_command.py
@@ -21,7 +21,7 @@
 
 from lifttrestle.internal.cli.main import main
 from lifttrestle.internal.clock.manual import ManualClock
-from lifttrestle.internal.fleet.limits.held_limit import HeldLimit
+from lifttrestle.internal.fleet.limits.limit_state import HeldLimit
 from lifttrestle.internal.fleet.path.doors import MetricsDoor
 from lifttrestle.internal.fleet.policy.limit_belief import LimitSign
 from lifttrestle.internal.fleet.policy.limit_permits import PermitBucket
