--- a/src/lifttrestle/internal/fleet/limits/__init__.py
+++ b/src/lifttrestle/internal/fleet/limits/__init__.py
@@ -10,4 +10,4 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Limits that upstreams in need name, kept over all routers."""
+"""Fleet-wide enforcement of the rate limits that upstreams report."""
--- a/src/lifttrestle/internal/fleet/limits/allocators.py
+++ b/src/lifttrestle/internal/fleet/limits/allocators.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Which routers give out the permits for the upstreams of a data centre."""
+"""Selects the routers that grant permits for a data centre's upstreams."""
 
 from lifttrestle.internal.clock.clock import Clock
 from lifttrestle.internal.fleet.policy.permit_allocators import rank_allocators
@@ -19,26 +19,30 @@
 from lifttrestle.internal.telemetry.event_log import get_event_log
 
 LOG = get_event_log('limits')
-# A router that did not answer is asked again after this: one that was killed
-# is back after some two seconds.
+# A router that did not answer is queried again after this time. A killed one
+# is back after about two seconds.
 AVOID_SECONDS = 1.0
 
 
 class PermitAllocators:
-    """The routers that may be asked, by data centre."""
+    """Ranked permit allocators of each data centre.
+
+    The first is the primary; the next ones are standbys, which grant a
+    smaller share of a limit each.
+    """
 
     def __init__(self, roster: Roster, clock: Clock) -> None:
         self._roster = roster
         self._clock = clock
-        self._seen: tuple[int, int] | None = None
+        self._ranked_for: tuple[int, int] | None = None
         self._ranked: dict[str, list[str]] = {}
         self._avoided: dict[str, float] = {}
 
-    def list_all(self, data_centre: str) -> list[str]:
-        """Return the keys of those that may give permits, the first first."""
-        seen = (self._roster.changes, self._roster.live)
-        if seen != self._seen:
-            self._seen = seen
+    def list_ranked(self, data_centre: str) -> list[str]:
+        """Return the keys of the allocators, the primary first."""
+        ranked_for = (self._roster.changes, self._roster.live)
+        if ranked_for != self._ranked_for:
+            self._ranked_for = ranked_for
             self._ranked = {}
         ranked = self._ranked.get(data_centre)
         if ranked is None:
@@ -53,45 +57,51 @@
             for key in self._roster.routers
             if key == own or self._roster.get_address(key)
         ]
-        near = [key for key in routers if self._find_place(key) == data_centre]
-        return near or routers
+        local = [
+            key for key in routers if self._get_data_centre(key) == data_centre
+        ]
+        return local or routers
 
-    def _find_place(self, key: str) -> str:
+    def _get_data_centre(self, key: str) -> str:
         if key == self._roster.key:
             return self._roster.data_centre
         return self._roster.get_data_centre(key)
 
-    def list_everywhere(self) -> set[str]:
-        """Return those of all data centres."""
+    def list_of_all_data_centres(self) -> set[str]:
+        """Return the keys of the allocators of all data centres."""
         routers = self._roster.routers
-        places = {self._find_place(key) for key in routers}
-        return {key for place in places for key in self.list_all(place)}
+        data_centres = {self._get_data_centre(key) for key in routers}
+        return {
+            key
+            for data_centre in data_centres
+            for key in self.list_ranked(data_centre)
+        }
 
-    def is_first(self, data_centre: str) -> bool:
-        """Return whether this router gives permits while it is there."""
-        return self.get_first(data_centre) == self._roster.key
+    def is_primary(self, data_centre: str) -> bool:
+        """Return whether this router is the primary allocator."""
+        return self.get_primary(data_centre) == self._roster.key
 
-    def list_sound(self, data_centre: str) -> list[str]:
-        """Return those that have not failed to answer lately."""
+    def list_responsive(self, data_centre: str) -> list[str]:
+        """Return the allocators that have not failed to answer recently."""
         now = self._clock.monotonic()
         return [
             key
-            for key in self.list_all(data_centre)
+            for key in self.list_ranked(data_centre)
             if self._avoided.get(key, now) <= now
         ]
 
-    def get_first(self, data_centre: str) -> str:
-        """Return the router that gives permits while it is there."""
-        return self.list_all(data_centre)[0]
+    def get_primary(self, data_centre: str) -> str:
+        """Return the key of the primary allocator."""
+        return self.list_ranked(data_centre)[0]
 
     def get_share(self, data_centre: str) -> float:
-        """Return the part of a limit that this router gives, or zero."""
-        ranked = self.list_all(data_centre)
+        """Return the fraction of a limit that this router grants, or zero."""
+        ranked = self.list_ranked(data_centre)
         if self._roster.key not in ranked:
             return 0.0
         return SHARES[ranked.index(self._roster.key)]
 
     def avoid(self, key: str) -> None:
-        """Ask others for a while; this one did not answer."""
+        """Skip an allocator that did not answer for ``AVOID_SECONDS``."""
         self._avoided[key] = self._clock.monotonic() + AVOID_SECONDS
         LOG.info('limits.allocator_silent', router=key)
--- a/src/lifttrestle/internal/fleet/limits/limit_state.py
+++ b/src/lifttrestle/internal/fleet/limits/limit_state.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""What one router holds of the limit of one start of an upstream."""
+"""State that one router keeps of the rate limit of one upstream start."""
 
 import dataclasses
 import math
@@ -20,27 +20,27 @@
 from lifttrestle.internal.fleet.policy.limit_belief import LimitSign
 from lifttrestle.internal.fleet.policy.limit_permits import PermitBucket
 
-# A datagram between two routers takes less than this; what it tells may be
-# older by so much than it seems.
+# Upper bound of a datagram's transit time between two routers. A reported age
+# may be too low by this much.
 TRANSIT_SECONDS = 0.1
-# An end that nobody confirms is taken for complete after this.
-RECOVERY_LIMIT_SECONDS = 10.0
-# That a limit has ended and all was given back is told for this long.
-TELL_FREED_SECONDS = 4.0
-# What has ended is remembered for as long as an answer may be under way.
-REMEMBERED_SECONDS = 60.0
+# A recovery that no allocator confirms counts as complete after this time.
+RECOVERY_TIMEOUT_SECONDS = 10.0
+# How long updates report that a limit has ended and its recovery is complete.
+RECOVERED_UPDATE_SECONDS = 4.0
+# An ended limit is kept for as long as an answer may still be in flight.
+RETENTION_SECONDS = 60.0
 
 
 @dataclasses.dataclass
-class HeldLimit:
-    """One start's limit.
+class LimitState:
+    """Rate limit of one start of an upstream.
 
     :ivar recovering: the limit has ended, and permits are still needed.
-    :ivar freed_at: when it was last seen that all was given back.
-    :ivar bucket: of which this router gives permits, None where others do.
-    :ivar confirmed: a router that gives permits is known to know of it.
-    :ivar closed_until: until when a request gets no permit.
-    :ivar closed_rank: whose rank is this or higher.
+    :ivar recovered_at: when the last recovery was complete, monotonic seconds.
+    :ivar bucket: permits that this router grants, None if it is no allocator.
+    :ivar confirmed: the primary allocator is known to have the same rate.
+    :ivar refused_until: until when requests get no permit, monotonic seconds.
+    :ivar refused_rank: lowest rank of the requests that get none.
     """
 
     start: str
@@ -48,34 +48,34 @@
     data_centre: str
     belief: LimitBelief = dataclasses.field(default_factory=LimitBelief)
     recovering: bool = False
-    freed_at: float = -math.inf
+    recovered_at: float = -math.inf
     bucket: PermitBucket | None = None
     confirmed: bool = False
-    closed_until: float = -math.inf
-    closed_rank: int = 0
+    refused_until: float = -math.inf
+    refused_rank: int = 0
 
     @property
     def needs_permits(self) -> bool:
-        """Return whether nothing may be sent without a permit."""
+        """Return whether requests may be sent with a permit only."""
         return self.belief.rate is not None or self.recovering
 
     @property
     def is_unknown(self) -> bool:
-        """Return whether nothing was heard of its limit yet."""
+        """Return whether no limit and no end of one was received yet."""
         never = math.isinf(self.belief.ended_at)
         return self.belief.rate is None and never
 
     def is_refused(self, rank: int, now: float) -> bool:
-        """Return whether a request is known to get no permit now."""
-        return rank >= self.closed_rank and now < self.closed_until
+        """Return whether a request of this rank is known to be refused now."""
+        return rank >= self.refused_rank and now < self.refused_until
 
-    def close(self, rank: int, until: float) -> None:
-        """Note that a request got no permit."""
-        self.closed_rank = rank
-        self.closed_until = until
+    def note_refusal(self, rank: int, until: float) -> None:
+        """Record that a request of this rank is refused until a time."""
+        self.refused_rank = rank
+        self.refused_until = until
 
     def build_item(self, now: float) -> LimitItem:
-        """Return what is told of it."""
+        """Return the item that reports this limit to other routers."""
         belief = self.belief
         begin, end = belief.named.begin, belief.named.end
         if belief.rate is None:
@@ -88,32 +88,35 @@
             self.recovering,
         )
 
-    def is_news(self, now: float) -> bool:
-        """Return whether all routers should be told of it again."""
-        return self.needs_permits or now - self.freed_at < TELL_FREED_SECONDS
+    def needs_update(self, now: float) -> bool:
+        """Return whether periodic updates should include this limit."""
+        return (
+            self.needs_permits
+            or now - self.recovered_at < RECOVERED_UPDATE_SECONDS
+        )
 
-    def is_forgotten(self, now: float) -> bool:
-        """Return whether nothing of it counts any more."""
+    def is_expired(self, now: float) -> bool:
+        """Return whether this state can be dropped."""
         if self.needs_permits:
             return False
-        return now - self.belief.ended_at > REMEMBERED_SECONDS
+        return now - self.belief.ended_at > RETENTION_SECONDS
 
-    def is_stuck(self, now: float) -> bool:
-        """Return whether its recovery was confirmed by nobody."""
+    def is_recovery_timed_out(self, now: float) -> bool:
+        """Return whether a recovery was not confirmed in time."""
         since = now - self.belief.ended_at
-        waits = self.recovering and not self.gives_all
-        return waits and since > RECOVERY_LIMIT_SECONDS
+        unconfirmed = self.recovering and not self.is_sole_allocator
+        return unconfirmed and since > RECOVERY_TIMEOUT_SECONDS
 
     @property
-    def gives_all(self) -> bool:
-        """Return whether this router gives all permits, and sees all use."""
+    def is_sole_allocator(self) -> bool:
+        """Return whether this router grants all permits, and sees all use."""
         return self.bucket is not None and self.bucket.share >= 1.0
 
 
-def read_sign(item: LimitItem, now: float) -> LimitSign:
-    """Return the sign that an item tells of."""
+def read_item(item: LimitItem, now: float) -> LimitSign:
+    """Return the observation that an item reports."""
     begin = now - item.begun - TRANSIT_SECONDS
     if item.rate is None:
-        # It was certain when it was told: only its own end counts.
+        # The sender was certain of the end: no transit time is deducted.
         begin = now - item.heard
     return LimitSign(item.rate, begin, now - item.heard)
--- a/src/lifttrestle/internal/fleet/limits/listing.py
+++ b/src/lifttrestle/internal/fleet/limits/listing.py
@@ -10,22 +10,24 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""What a router tells operators of the limits that it knows."""
+"""Listing of the limits that a router knows, for operators."""
 
 from collections.abc import Iterable
 
 import msgspec
 
-from lifttrestle.internal.fleet.limits.limit_state import HeldLimit
+from lifttrestle.internal.fleet.limits.limit_state import LimitState
 
 
 class ListedLimit(msgspec.Struct, frozen=True):
-    """One upstream that gets a request with a permit only.
-
-    :ivar rate: that it names, None while its limit has ended lately.
-    :ivar age: seconds since an answer named the limit, or ended it.
-    :ivar share: of the limit that this router gives out, zero if others do.
-    :ivar used: permits a second that it gave lately.
+    """One upstream to which requests are sent with a permit only.
+
+    :ivar rate: requests per second that it reports, None while it recovers
+        from a limit that has ended.
+    :ivar age: seconds since an answer reported the limit, or ended it.
+    :ivar share: fraction of the limit that this router grants, zero if it is
+        no allocator.
+    :ivar used: permits per second that this router granted recently.
     """
 
     start: str
@@ -36,21 +38,21 @@
     used: float
 
 
-def list_limits(limits: Iterable[HeldLimit], now: float) -> list[ListedLimit]:
-    """Return what is told, sorted by the upstreams' names."""
-    listed = [_list_one(held, now) for held in limits]
+def list_limits(limits: Iterable[LimitState], now: float) -> list[ListedLimit]:
+    """Return an entry for each limit, sorted by the upstreams' names."""
+    listed = [_build_entry(limit, now) for limit in limits]
     return sorted(listed, key=lambda item: item.start)
 
 
-def _list_one(held: HeldLimit, now: float) -> ListedLimit:
-    belief = held.belief
-    named = belief.named.end if belief.rate is not None else belief.ended_at
-    bucket = held.bucket
+def _build_entry(limit: LimitState, now: float) -> ListedLimit:
+    belief = limit.belief
+    named_at = belief.named.end if belief.rate is not None else belief.ended_at
+    bucket = limit.bucket
     return ListedLimit(
-        held.start,
-        held.data_centre,
+        limit.start,
+        limit.data_centre,
         belief.rate,
-        round(now - named, 3),
+        round(now - named_at, 3),
         bucket.share if bucket is not None else 0.0,
         round(bucket.use.get(now), 3) if bucket is not None else 0.0,
     )
--- a/src/lifttrestle/internal/fleet/limits/memory.py
+++ b/src/lifttrestle/internal/fleet/limits/memory.py
@@ -10,10 +10,10 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Limits that upstreams in need name, kept over all routers.
+"""Fleet-wide enforcement of the rate limits that upstreams report.
 
-Nothing is sent to such an upstream without a permit, until its limit has
-ended and all was given back in steps.
+Requests to a limited upstream need a permit until its limit has ended and the
+rate of permits was raised gradually to the full load.
 """
 
 import asyncio
@@ -23,7 +23,7 @@
 from lifttrestle.internal.clock.beat import Beat
 from lifttrestle.internal.clock.clock import Clock
 from lifttrestle.internal.fleet.limits.allocators import PermitAllocators
-from lifttrestle.internal.fleet.limits.limit_state import HeldLimit
+from lifttrestle.internal.fleet.limits.limit_state import LimitState
 from lifttrestle.internal.fleet.limits.messages import LimitSyncRequest
 from lifttrestle.internal.fleet.limits.messages import LimitUpdate
 from lifttrestle.internal.fleet.limits.messages import PermitAnswer
@@ -31,7 +31,7 @@
 from lifttrestle.internal.fleet.limits.permits import PermitDecision
 from lifttrestle.internal.fleet.limits.permits import PermitExchange
 from lifttrestle.internal.fleet.limits.registry import LimitRegistry
-from lifttrestle.internal.fleet.limits.replicator import LimitTelling
+from lifttrestle.internal.fleet.limits.replicator import LimitReplicator
 from lifttrestle.internal.fleet.limits.replicator import Send
 from lifttrestle.internal.fleet.policy.limit_belief import LimitSign
 from lifttrestle.internal.fleet.policy.limit_belief import NamedLimit
@@ -40,18 +40,18 @@
 from lifttrestle.internal.fleet.state.upstream import FleetUpstream
 from lifttrestle.internal.intake.refusals import InputRefusals
 
-# Between two looks at what is over and what is to be told again.
-LOOK_SECONDS = 0.5
-# Between two looks at whether others have told of their limits.
-SETTLE_LOOK_SECONDS = 0.05
-FREE = PermitDecision(0.0)
-Hear = Callable[[type, Callable[..., None]], None]
+# Interval of ending recoveries, dropping expired limits and sending updates.
+SWEEP_SECONDS = 0.5
+# Interval of checking whether other routers have sent their limits.
+SYNC_POLL_SECONDS = 0.05
+UNLIMITED = PermitDecision(0.0)
+Subscribe = Callable[[type, Callable[..., None]], None]
 
 
 class UpstreamLimits:
-    """What a router asks before it sends, and tells after an answer.
+    """Grants permits before requests are sent, and learns from answers.
 
-    :param knows_upstreams: returns whether the directory was read.
+    :param knows_upstreams: returns whether the directory was loaded.
     """
 
     def __init__(
@@ -65,10 +65,10 @@
     ) -> None:
         self._clock = clock
         self._refusals = refusals
-        self._told_faults: set[str] = set()
+        self._reported_faults: set[str] = set()
         allocators = PermitAllocators(roster, clock)
         self._registry = LimitRegistry(allocators, clock)
-        self._telling = LimitTelling(
+        self._replicator = LimitReplicator(
             vm,
             self._registry,
             allocators,
@@ -81,116 +81,123 @@
             vm,
             self._registry,
             allocators,
-            self._telling,
+            self._replicator,
             directory,
             roster,
             clock,
         )
 
     def connect(
-        self, hear: Hear, send: Send, count: Callable[[str], None]
+        self, subscribe: Subscribe, send: Send, count: Callable[[str], None]
     ) -> None:
         """Exchange messages with the other routers.
 
-        :param hear: has a kind of message passed to a function.
+        :param subscribe: registers the handler of a message type.
         :param send: sends a message to the router with a key.
-        :param count: is told of each question for a permit how it ended.
+        :param count: is called with the result of each permit query.
         """
-        hear(LimitUpdate, self._telling.take_news)
-        hear(LimitSyncRequest, self._telling.take_call)
-        hear(PermitQuery, self._exchange.take_query)
-        hear(PermitAnswer, self._exchange.take_answer)
-        self._telling.send = send
+        subscribe(LimitUpdate, self._replicator.handle_update)
+        subscribe(LimitSyncRequest, self._replicator.handle_sync_request)
+        subscribe(PermitQuery, self._exchange.handle_query)
+        subscribe(PermitAnswer, self._exchange.handle_answer)
+        self._replicator.send = send
         self._exchange.count = count
 
-    def __iter__(self) -> Iterator[HeldLimit]:
-        """Iterate over the limits for which permits are needed."""
-        return (held for held in self._registry if held.needs_permits)
+    def __iter__(self) -> Iterator[LimitState]:
+        """Iterate over the limits that require permits."""
+        return (limit for limit in self._registry if limit.needs_permits)
 
     def __len__(self) -> int:
-        """Return for how many upstreams permits are needed."""
+        """Return the number of upstreams that require permits."""
         return sum(1 for _ in self)
 
     def note_answer(
-        self, upstream: FleetUpstream, named: NamedLimit, sent_at: float
+        self, upstream: FleetUpstream, reported: NamedLimit, sent_at: float
     ) -> None:
-        """Take in what an answer says; a fault is told once a start.
+        """Apply the limit of an answer; report a fault once for each start.
 
         :param sent_at: when its request was sent, monotonic seconds.
         """
-        if named.fault is not None:
-            if upstream.start not in self._told_faults:
-                self._told_faults.add(upstream.start)
-                self._refusals.note('limits', upstream.start, named.fault)
+        if reported.fault is not None:
+            if upstream.start not in self._reported_faults:
+                self._reported_faults.add(upstream.start)
+                self._refusals.note('limits', upstream.start, reported.fault)
             return
-        if named.rate is None and self._registry.get(upstream.digest) is None:
+        if (
+            reported.rate is None
+            and self._registry.get(upstream.digest) is None
+        ):
             return
-        held = self._registry.hold(upstream)
-        sign = LimitSign(named.rate, sent_at, self._clock.monotonic())
-        if self._registry.note(held, sign, 'an answer'):
-            self._telling.tell_soon(held)
+        limit = self._registry.get_or_create(upstream)
+        observation = LimitSign(
+            reported.rate, sent_at, self._clock.monotonic()
+        )
+        if self._registry.observe(limit, observation, 'answer'):
+            self._replicator.queue_update(limit)
 
     def forget(self, upstream: FleetUpstream) -> None:
-        """Believe nothing more of a start that is there no more."""
-        self._told_faults.discard(upstream.start)
+        """Drop the limit of a start that is gone."""
+        self._reported_faults.discard(upstream.start)
         self._registry.forget(upstream)
 
     @property
     def in_use(self) -> bool:
-        """Return whether any upstream has named a limit lately."""
+        """Return whether any upstream has reported a limit recently."""
         return len(self._registry) > 0
 
     def is_limited(self, upstream: FleetUpstream) -> bool:
-        """Return whether a request needs a permit to be sent there."""
+        """Return whether a request to an upstream needs a permit."""
         return self._registry.find_limited(upstream) is not None
 
     def is_refused(self, upstream: FleetUpstream, rank: int) -> bool:
-        """Return whether a request is known to get no permit now."""
-        held = self._registry.find_limited(upstream)
-        if held is None:
+        """Return whether a request is known to be refused a permit now."""
+        limit = self._registry.find_limited(upstream)
+        if limit is None:
             return False
-        return held.is_refused(rank, self._clock.monotonic())
+        return limit.is_refused(rank, self._clock.monotonic())
 
     def get_retry_delay(self, upstream: FleetUpstream) -> float:
-        """Return the seconds until a permit may be asked for again."""
-        held = self._registry.find_limited(upstream)
-        if held is None:
+        """Return the seconds until a permit may be requested again."""
+        limit = self._registry.find_limited(upstream)
+        if limit is None:
             return 0.0
-        return max(held.closed_until - self._clock.monotonic(), 0.0)
+        return max(limit.refused_until - self._clock.monotonic(), 0.0)
 
     async def request_permit(
         self, upstream: FleetUpstream, rank: int
     ) -> PermitDecision:
-        """Return whether one request may be sent now.
+        """Request a permit to send one request now.
 
-        :param rank: of the request, as ``rank_request`` tells it.
+        :param rank: of the request, as returned by ``rank_request``.
         """
-        held = self._registry.find_limited(upstream)
-        if held is None:
-            return FREE
-        return await self._exchange.request_permit(held, rank)
+        limit = self._registry.find_limited(upstream)
+        if limit is None:
+            return UNLIMITED
+        return await self._exchange.request_permit(limit, rank)
 
     def is_synced(self) -> bool:
-        """Return whether others had the time to tell of their limits."""
-        return self._telling.is_synced()
+        """Return whether other routers sent their limits, or had time to."""
+        return self._replicator.is_synced()
 
     async def run(self, beat: Beat) -> None:
-        """Tell and look again, for ever."""
+        """Send updates and sweep until cancelled."""
         await asyncio.gather(
-            self._telling.run(), self._run_looking(beat), self._settle()
+            self._replicator.run(),
+            self._run_sweeps(beat),
+            self._wait_until_synced(),
         )
 
-    async def _settle(self) -> None:
+    async def _wait_until_synced(self) -> None:
         while not self.is_synced():
-            await self._clock.sleep(SETTLE_LOOK_SECONDS)
+            await self._clock.sleep(SYNC_POLL_SECONDS)
 
-    async def _run_looking(self, beat: Beat) -> None:
+    async def _run_sweeps(self, beat: Beat) -> None:
         while True:
-            await beat.wait(LOOK_SECONDS)
-            self.look()
-
-    def look(self) -> None:
-        """End recoveries that are over, and tell what is in force."""
-        for held in self._registry.look():
-            self._telling.tell_soon(held)
-        self._telling.tell_regularly()
+            await beat.wait(SWEEP_SECONDS)
+            self.sweep()
+
+    def sweep(self) -> None:
+        """End completed recoveries, and send periodic updates."""
+        for limit in self._registry.sweep():
+            self._replicator.queue_update(limit)
+        self._replicator.send_periodically()
--- a/src/lifttrestle/internal/fleet/limits/messages.py
+++ b/src/lifttrestle/internal/fleet/limits/messages.py
@@ -10,10 +10,10 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""What routers tell each other of the limits that upstreams name.
+"""Messages by which routers share the limits that upstreams report.
 
-Times are told as ages, as clocks of two machines differ. Datagrams: one that
-is lost is made up for by the next news, or by the next question.
+Times are sent as ages, since the clocks of two machines differ. Messages are
+datagrams; a lost one is made up for by the next update or query.
 """
 
 from typing import Annotated
@@ -26,14 +26,14 @@
 
 
 class LimitItem(msgspec.Struct, frozen=True, array_like=True):
-    """What one router believes of one start of an upstream.
+    """Limit of one start of an upstream, as one router knows it.
 
     :ivar start: digest of the start.
-    :ivar rate: that it names, None if it names none any more.
-    :ivar begun: age of the moment at which the answer that says so was made
-        at the soonest.
-    :ivar heard: age of the moment at which it was heard.
-    :ivar recovering: its limit has ended, and permits are still needed.
+    :ivar rate: requests per second, None if the limit has ended.
+    :ivar begun: age in seconds of the earliest time at which the answer that
+        reported the rate may have been made.
+    :ivar heard: age in seconds of the receipt of that answer.
+    :ivar recovering: the limit has ended, and permits are still needed.
     """
 
     start: Count
@@ -44,9 +44,9 @@
 
 
 class LimitUpdate(msgspec.Struct, frozen=True, array_like=True, tag=5):
-    """What is believed; the same may be told again, and in any order.
+    """Limits that a router knows; may be repeated, in any order.
 
-    :ivar whole: it was asked for, and holds all that needs permits.
+    :ivar whole: answers a sync request, with all limits that need permits.
     """
 
     vm: str
@@ -55,17 +55,17 @@
 
 
 class LimitSyncRequest(msgspec.Struct, frozen=True, array_like=True, tag=6):
-    """Asks for all that the hearer believes."""
+    """Requests all limits that the receiver knows."""
 
     vm: str
 
 
 class PermitQuery(msgspec.Struct, frozen=True, array_like=True, tag=7):
-    """Asks for a permit to send one request.
+    """Requests a permit to send one request.
 
-    :ivar number: of the question, by which the answer is known.
-    :ivar known: what the teller believes of the upstream.
-    :ivar rank: of the request; the lowest comes first.
+    :ivar number: identifies the query; its answer repeats it.
+    :ivar known: limit of the upstream, as the sender knows it.
+    :ivar rank: of the request; the lowest has precedence.
     """
 
     vm: str
@@ -75,10 +75,10 @@
 
 
 class PermitAnswer(msgspec.Struct, frozen=True, array_like=True, tag=8):
-    """Gives a permit, or tells when to ask again.
+    """Grants a permit, or states when to retry.
 
-    :ivar wait: seconds, zero for a permit.
-    :ivar free: no permits are needed any more.
+    :ivar wait: seconds until the retry, zero if the permit is granted.
+    :ivar free: requests need no permit any more.
     """
 
     vm: str
--- a/src/lifttrestle/internal/fleet/limits/pending_queries.py
+++ b/src/lifttrestle/internal/fleet/limits/pending_queries.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Questions for permits that are under way, and their answers."""
+"""Permit queries in flight, and their answers."""
 
 import asyncio
 import itertools
@@ -18,41 +18,43 @@
 from lifttrestle.internal.clock.clock import Clock
 from lifttrestle.internal.fleet.limits.messages import PermitAnswer
 
-# An answer takes two ways of the network, 2 ms within a data centre and 50
-# between regions, and a router that is busy reads it some 20 ms later.
-ANSWER_SECONDS = 0.15
+# An answer takes one network round trip, 2 ms one way within a data centre and
+# 50 ms between regions, and a busy router reads a message about 20 ms late.
+ANSWER_TIMEOUT_SECONDS = 0.15
 
 
-class PermitQuestions:
-    """Matches answers with the questions that wait for them."""
+class PendingQueries:
+    """Matches answers to the queries that wait for them."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._numbers = itertools.count()
         self._waiting: dict[int, asyncio.Future[PermitAnswer]] = {}
 
-    def begin(self) -> int:
-        """Return the number of a new question."""
+    def register(self) -> int:
+        """Register a new query and return its number."""
         number = next(self._numbers)
         loop = asyncio.get_running_loop()
         self._waiting[number] = loop.create_future()
         return number
 
-    def take(self, answer: PermitAnswer) -> None:
-        """Take in an answer; one that is waited for no more is dropped."""
+    def resolve(self, answer: PermitAnswer) -> None:
+        """Complete the query of an answer; a late answer is dropped."""
         future = self._waiting.get(answer.number)
         if future is not None and not future.done():
             future.set_result(answer)
 
     async def wait(self, number: int) -> PermitAnswer | None:
-        """Return the answer to a question, None if there is none in time."""
+        """Return the answer to a query, None if it times out."""
         future = self._waiting[number]
-        limit = asyncio.ensure_future(self._clock.sleep(ANSWER_SECONDS))
+        timeout = asyncio.ensure_future(
+            self._clock.sleep(ANSWER_TIMEOUT_SECONDS)
+        )
         try:
             await asyncio.wait(
-                (future, limit), return_when=asyncio.FIRST_COMPLETED
+                (future, timeout), return_when=asyncio.FIRST_COMPLETED
             )
             return future.result() if future.done() else None
         finally:
-            limit.cancel()
+            timeout.cancel()
             del self._waiting[number]
--- a/src/lifttrestle/internal/fleet/limits/permits.py
+++ b/src/lifttrestle/internal/fleet/limits/permits.py
@@ -10,37 +10,37 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Asks for permits, and answers those that ask this router."""
+"""Requests permits from allocators, and answers queries for permits."""
 
 from collections.abc import Callable
 import dataclasses
 
 from lifttrestle.internal.clock.clock import Clock
 from lifttrestle.internal.fleet.limits.allocators import PermitAllocators
-from lifttrestle.internal.fleet.limits.limit_state import HeldLimit
+from lifttrestle.internal.fleet.limits.limit_state import LimitState
 from lifttrestle.internal.fleet.limits.messages import PermitAnswer
 from lifttrestle.internal.fleet.limits.messages import PermitQuery
-from lifttrestle.internal.fleet.limits.pending_queries import PermitQuestions
+from lifttrestle.internal.fleet.limits.pending_queries import PendingQueries
 from lifttrestle.internal.fleet.limits.registry import LimitRegistry
-from lifttrestle.internal.fleet.limits.replicator import LimitTelling
+from lifttrestle.internal.fleet.limits.replicator import LimitReplicator
 from lifttrestle.internal.fleet.policy.limit_permits import FIRST_CHOICE_RANK
 from lifttrestle.internal.fleet.state.directory import UpstreamDirectory
 from lifttrestle.internal.fleet.state.roster import Roster
 from lifttrestle.internal.fleet.state.roster import ROUTER_PREFIX
 
-# If no router that gives permits answers, or none can tell, a request tries
-# again after this.
-UNKNOWN_SECONDS = 0.5
+# Retry delay of a request if no allocator answers, or the one that answers can
+# neither grant nor refuse a permit.
+UNKNOWN_RETRY_SECONDS = 0.5
 
 
 @dataclasses.dataclass(frozen=True)
 class PermitDecision:
-    """What became of a question, and what it rested on, for the log.
+    """Outcome of a request for a permit, with its grounds for the log.
 
-    :ivar wait: seconds after which to ask again, zero if it may be sent.
-    :ivar allocator: the router that said so, an empty string if none did.
-    :ivar rate: that the upstream names, None while its limit has just ended.
-    :ivar age: seconds since an answer named it, None without a limit.
+    :ivar wait: seconds until the retry, zero if the permit is granted.
+    :ivar allocator: key of the router that decided, empty if none answered.
+    :ivar rate: limit of the upstream, None while it recovers from one.
+    :ivar age: seconds since an answer reported the rate, None without one.
     """
 
     wait: float
@@ -50,9 +50,9 @@
 
 
 class PermitExchange:
-    """Gets permits from the routers that give them, and gives its own.
+    """Requests permits from allocators, and grants those of this router.
 
-    :ivar count: is told of each question how it ended.
+    :ivar count: is called with the result of each query.
     """
 
     def __init__(
@@ -60,7 +60,7 @@
         vm: str,
         registry: LimitRegistry,
         allocators: PermitAllocators,
-        telling: LimitTelling,
+        replicator: LimitReplicator,
         directory: UpstreamDirectory,
         roster: Roster,
         clock: Clock,
@@ -68,82 +68,88 @@
         self._vm = vm
         self._registry = registry
         self._allocators = allocators
-        self._telling = telling
+        self._replicator = replicator
         self._directory = directory
         self._roster = roster
         self._clock = clock
-        self._questions = PermitQuestions(clock)
+        self._queries = PendingQueries(clock)
         self.count: Callable[[str], None] = lambda result: None
 
     async def request_permit(
-        self, held: HeldLimit, rank: int
+        self, limit: LimitState, rank: int
     ) -> PermitDecision:
-        """Return whether one request may be sent now.
+        """Request a permit to send one request now.
 
-        :param rank: of the request, as ``rank_request`` tells it.
+        :param rank: of the request, as returned by ``rank_request``.
         """
-        permit = await self._ask_allocators(held, rank)
+        permit = await self._query_allocators(limit, rank)
         now = self._clock.monotonic()
         if permit.wait:
-            held.close(rank, now + permit.wait)
-        belief = held.belief
+            limit.note_refusal(rank, now + permit.wait)
+        belief = limit.belief
         if belief.rate is None:
             return permit
         age = now - belief.named.end
         return dataclasses.replace(permit, rate=belief.rate, age=age)
 
-    async def _ask_allocators(
-        self, held: HeldLimit, rank: int
+    async def _query_allocators(
+        self, limit: LimitState, rank: int
     ) -> PermitDecision:
-        for key in self._allocators.list_sound(held.data_centre):
-            answer = await self._ask_one(held, rank, key)
+        for key in self._allocators.list_responsive(limit.data_centre):
+            answer = await self._query_one(limit, rank, key)
             if answer is None:
                 self.count('unanswered')
                 self._allocators.avoid(key)
                 if rank >= FIRST_CHOICE_RANK:
-                    # It does not wait for a second answer.
+                    # These requests do not wait for a second answer.
                     break
                 continue
             if answer.free:
-                self._registry.free(held, key)
+                self._registry.end_recovery(limit, key)
             self.count('refused' if answer.wait else 'granted')
             return PermitDecision(answer.wait, key)
-        return PermitDecision(UNKNOWN_SECONDS)
+        return PermitDecision(UNKNOWN_RETRY_SECONDS)
 
-    async def _ask_one(
-        self, held: HeldLimit, rank: int, key: str
+    async def _query_one(
+        self, limit: LimitState, rank: int, key: str
     ) -> PermitAnswer | None:
         if key == self._roster.key:
-            return self._give(held, rank, 0)
-        number = self._questions.begin()
-        item = held.build_item(self._clock.monotonic())
-        self._telling.send(PermitQuery(self._vm, number, item, rank), key)
-        return await self._questions.wait(number)
-
-    def take_answer(self, answer: PermitAnswer) -> None:
-        """Pass an answer on to the request that waits for it."""
-        self._questions.take(answer)
-
-    def take_query(self, query: PermitQuery) -> None:
-        """Answer a router that asks for a permit."""
+            return self._grant(limit, rank, 0)
+        number = self._queries.register()
+        item = limit.build_item(self._clock.monotonic())
+        self._replicator.send(PermitQuery(self._vm, number, item, rank), key)
+        return await self._queries.wait(number)
+
+    def handle_answer(self, answer: PermitAnswer) -> None:
+        """Pass an answer to the request that waits for it."""
+        self._queries.resolve(answer)
+
+    def handle_query(self, query: PermitQuery) -> None:
+        """Answer another router's query for a permit."""
         key = f'{ROUTER_PREFIX}{query.vm}'
         upstream = self._directory.get_by_digest(query.known.start)
         if upstream is None:
-            # Its entry is not read yet, or it is gone.
-            unknown = PermitAnswer(self._vm, query.number, UNKNOWN_SECONDS)
-            self._telling.send(unknown, key)
+            # Its directory entry is not loaded yet, or was removed.
+            unknown = PermitAnswer(
+                self._vm, query.number, UNKNOWN_RETRY_SECONDS
+            )
+            self._replicator.send(unknown, key)
             return
-        held = self._registry.hold(upstream)
-        if self._registry.take_item(held, query.known, query.vm, key):
-            self._telling.tell_soon(held)
-        self._telling.stand_in(held)
-        self._telling.send(self._give(held, query.rank, query.number), key)
-
-    def _give(self, held: HeldLimit, rank: int, number: int) -> PermitAnswer:
-        self._registry.follow(held)
-        if held.bucket is not None:
-            wait = held.bucket.take(rank, self._clock.monotonic())
+        limit = self._registry.get_or_create(upstream)
+        if self._registry.merge_item(limit, query.known, query.vm, key):
+            self._replicator.queue_update(limit)
+        self._replicator.begin_failover(limit)
+        self._replicator.send(
+            self._grant(limit, query.rank, query.number), key
+        )
+
+    def _grant(
+        self, limit: LimitState, rank: int, number: int
+    ) -> PermitAnswer:
+        self._registry.update_bucket(limit)
+        if limit.bucket is not None:
+            wait = limit.bucket.take(rank, self._clock.monotonic())
             return PermitAnswer(self._vm, number, wait)
-        if held.belief.rate is None:
+        if limit.belief.rate is None:
             return PermitAnswer(self._vm, number, 0.0, True)
-        return PermitAnswer(self._vm, number, UNKNOWN_SECONDS)
+        return PermitAnswer(self._vm, number, UNKNOWN_RETRY_SECONDS)
--- a/src/lifttrestle/internal/fleet/limits/registry.py
+++ b/src/lifttrestle/internal/fleet/limits/registry.py
@@ -10,14 +10,14 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""What one router believes of all limits, and the permits that it gives."""
+"""All limits that one router knows, with the permits that it grants."""
 
 from collections.abc import Iterator
 
 from lifttrestle.internal.clock.clock import Clock
 from lifttrestle.internal.fleet.limits.allocators import PermitAllocators
-from lifttrestle.internal.fleet.limits.limit_state import HeldLimit
-from lifttrestle.internal.fleet.limits.limit_state import read_sign
+from lifttrestle.internal.fleet.limits.limit_state import LimitState
+from lifttrestle.internal.fleet.limits.limit_state import read_item
 from lifttrestle.internal.fleet.limits.messages import LimitItem
 from lifttrestle.internal.fleet.policy.limit_belief import LimitChange
 from lifttrestle.internal.fleet.policy.limit_belief import LimitSign
@@ -30,132 +30,137 @@
 
 
 class LimitRegistry:
-    """Limits by the digests of their starts."""
+    """Limits by the digests of the upstreams' starts."""
 
     def __init__(self, allocators: PermitAllocators, clock: Clock) -> None:
         self._allocators = allocators
         self._clock = clock
-        self._held: dict[int, HeldLimit] = {}
+        self._limits: dict[int, LimitState] = {}
 
-    def __iter__(self) -> Iterator[HeldLimit]:
-        """Iterate over all that is believed, also of limits that ended."""
-        return iter(list(self._held.values()))
+    def __iter__(self) -> Iterator[LimitState]:
+        """Iterate over all limits, including ended ones."""
+        return iter(list(self._limits.values()))
 
     def __len__(self) -> int:
-        """Return of how many starts anything is believed."""
-        return len(self._held)
-
-    def get(self, digest: int) -> HeldLimit | None:
-        """Return what is believed of a start, None if nothing is."""
-        return self._held.get(digest)
-
-    def find_limited(self, upstream: FleetUpstream) -> HeldLimit | None:
-        """Return the limit for which permits are needed, if there is one."""
-        held = self._held.get(upstream.digest)
-        return held if held is not None and held.needs_permits else None
-
-    def hold(self, upstream: FleetUpstream) -> HeldLimit:
-        """Return what is believed of a start, after nothing was."""
-        held = self._held.get(upstream.digest)
-        if held is None:
-            held = HeldLimit(
+        """Return the number of limits, including ended ones."""
+        return len(self._limits)
+
+    def get(self, digest: int) -> LimitState | None:
+        """Return the limit of a start, None if none is known."""
+        return self._limits.get(digest)
+
+    def find_limited(self, upstream: FleetUpstream) -> LimitState | None:
+        """Return the limit of an upstream if it requires permits."""
+        limit = self._limits.get(upstream.digest)
+        return limit if limit is not None and limit.needs_permits else None
+
+    def get_or_create(self, upstream: FleetUpstream) -> LimitState:
+        """Return the limit of a start, created if none is known."""
+        limit = self._limits.get(upstream.digest)
+        if limit is None:
+            limit = LimitState(
                 upstream.start, upstream.digest, upstream.entry.data_centre
             )
-            self._held[upstream.digest] = held
-        return held
+            self._limits[upstream.digest] = limit
+        return limit
 
     def forget(self, upstream: FleetUpstream) -> None:
-        """Believe nothing more of a start that is there no more."""
-        held = self._held.pop(upstream.digest, None)
-        if held is not None and held.needs_permits:
-            LOG.info('limit.gone', start=held.start)
+        """Drop the limit of a start that is gone."""
+        limit = self._limits.pop(upstream.digest, None)
+        if limit is not None and limit.needs_permits:
+            LOG.info('limit.gone', start=limit.start)
 
-    def note(self, held: HeldLimit, sign: LimitSign, source: str) -> bool:
-        """Take in a sign; return whether it changes anything.
+    def observe(
+        self, limit: LimitState, observation: LimitSign, source: str
+    ) -> bool:
+        """Apply an observation; return whether it changes the limit.
 
-        :param source: who says so, for the log.
+        :param source: of the observation, for the log.
         """
-        before = held.belief.rate
-        change = held.belief.note(sign)
+        before = limit.belief.rate
+        change = limit.belief.note(observation)
         if change is LimitChange.NOTHING:
             return False
         now = self._clock.monotonic()
-        held.recovering = change is LimitChange.ENDED
-        held.confirmed = False
-        held.closed_until = now
-        self.follow(held)
+        limit.recovering = change is LimitChange.ENDED
+        limit.confirmed = False
+        limit.refused_until = now
+        self.update_bucket(limit)
         LOG.info(
             f'limit.{change.value}',
-            start=held.start,
-            rate_per_s=held.belief.rate,
+            start=limit.start,
+            rate_per_s=limit.belief.rate,
             before=before,
             source=source,
-            age_ms=round((now - sign.end) * MILLISECONDS),
-            own_share=self._allocators.get_share(held.data_centre),
+            age_ms=round((now - observation.end) * MILLISECONDS),
+            own_share=self._allocators.get_share(limit.data_centre),
         )
         return True
 
-    def take_item(
-        self, held: HeldLimit, item: LimitItem, vm: str, key: str
+    def merge_item(
+        self, limit: LimitState, item: LimitItem, vm: str, key: str
     ) -> bool:
-        """Take in what a router tells; return whether it changes anything.
+        """Apply an item of another router; return whether it changes a limit.
 
-        :param key: of that router.
+        :param key: of the router that sent the item.
         """
-        sign = read_sign(item, self._clock.monotonic())
-        if item.recovering and held.is_unknown:
-            # Whoever gave it back in steps before is there no more.
-            held.recovering = True
-            held.belief.ended_at = sign.end
-        changed = self.note(held, sign, vm)
-        first = self._allocators.get_first(held.data_centre)
-        if key == first and item.rate == held.belief.rate:
-            held.confirmed = True
+        observation = read_item(item, self._clock.monotonic())
+        if item.recovering and limit.is_unknown:
+            # Resumes a recovery whose allocator is gone.
+            limit.recovering = True
+            limit.belief.ended_at = observation.end
+        changed = self.observe(limit, observation, vm)
+        primary = self._allocators.get_primary(limit.data_centre)
+        if key == primary and item.rate == limit.belief.rate:
+            limit.confirmed = True
             if item.rate is None and not item.recovering:
-                self.free(held, vm)
+                self.end_recovery(limit, vm)
         return changed
 
-    def follow(self, held: HeldLimit) -> None:
-        """Give permits by what is believed now, if that is this router's."""
+    def update_bucket(self, limit: LimitState) -> None:
+        """Adapt the permits that this router grants to limit and share."""
         now = self._clock.monotonic()
-        share = self._allocators.get_share(held.data_centre)
-        rate = held.belief.rate
+        share = self._allocators.get_share(limit.data_centre)
+        rate = limit.belief.rate
         if not share:
-            held.bucket = None
-        elif held.bucket is not None:
-            held.bucket.set_share(share, now)
-            if held.bucket.rate != rate:
-                held.bucket.set_rate(rate, now)
-        elif held.needs_permits:
-            held.bucket = PermitBucket(rate, share, now)
-
-    def free(self, held: HeldLimit, source: str) -> None:
-        """Send without permits again: all was given back."""
-        if held.belief.rate is not None or not held.recovering:
+            limit.bucket = None
+        elif limit.bucket is not None:
+            limit.bucket.set_share(share, now)
+            if limit.bucket.rate != rate:
+                limit.bucket.set_rate(rate, now)
+        elif limit.needs_permits:
+            limit.bucket = PermitBucket(rate, share, now)
+
+    def end_recovery(self, limit: LimitState, source: str) -> None:
+        """Require no more permits: the recovery is complete."""
+        if limit.belief.rate is not None or not limit.recovering:
             return
-        held.recovering = False
-        held.bucket = None
-        held.freed_at = self._clock.monotonic()
-        LOG.info('limit.given_back', start=held.start, source=source)
+        limit.recovering = False
+        limit.bucket = None
+        limit.recovered_at = self._clock.monotonic()
+        LOG.info('limit.given_back', start=limit.start, source=source)
 
-    def _is_over(self, held: HeldLimit, now: float) -> bool:
-        """Return whether all was given back.
+    def _is_recovered(self, limit: LimitState, now: float) -> bool:
+        """Return whether a recovery is complete.
 
-        A router that stands in for another is asked by few, or nobody.
+        Only an allocator of the whole limit can tell; a standby allocator
+        receives few queries or none.
         """
-        if held.bucket is None or not held.gives_all:
+        if limit.bucket is None or not limit.is_sole_allocator:
             return False
-        return held.bucket.is_over(now)
+        return limit.bucket.is_over(now)
 
-    def look(self) -> list[HeldLimit]:
-        """End recoveries that are over and return them; drop what is old."""
+    def sweep(self) -> list[LimitState]:
+        """End and return completed recoveries; drop expired limits."""
         now = self._clock.monotonic()
-        freed = []
-        for held in self:
-            self.follow(held)
-            if self._is_over(held, now) or held.is_stuck(now):
-                self.free(held, 'its recovery is over')
-                freed.append(held)
-            if held.is_forgotten(now):
-                del self._held[held.digest]
-        return freed
+        recovered = []
+        for limit in self:
+            self.update_bucket(limit)
+            if self._is_recovered(limit, now) or limit.is_recovery_timed_out(
+                now
+            ):
+                self.end_recovery(limit, 'recovery over')
+                recovered.append(limit)
+            if limit.is_expired(now):
+                del self._limits[limit.digest]
+        return recovered
--- a/src/lifttrestle/internal/fleet/limits/replicator.py
+++ b/src/lifttrestle/internal/fleet/limits/replicator.py
@@ -10,11 +10,12 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Tells the other routers of limits, and hears of them.
+"""Replicates limits between routers.
 
-Whoever hears an answer tells the router that gives the permits for that
-upstream, and that one tells all others: a limit that hundreds of routers learn
-at the same moment is not told by each of them to all.
+A router that receives an answer with a limit reports it to the primary
+allocator of that upstream, which broadcasts it to all other routers. A limit
+that hundreds of routers learn at the same moment is thus not broadcast by each
+of them.
 """
 
 import asyncio
@@ -24,7 +25,7 @@
 
 from lifttrestle.internal.clock.clock import Clock
 from lifttrestle.internal.fleet.limits.allocators import PermitAllocators
-from lifttrestle.internal.fleet.limits.limit_state import HeldLimit
+from lifttrestle.internal.fleet.limits.limit_state import LimitState
 from lifttrestle.internal.fleet.limits.messages import LimitItem
 from lifttrestle.internal.fleet.limits.messages import LimitSyncRequest
 from lifttrestle.internal.fleet.limits.messages import LimitUpdate
@@ -35,27 +36,27 @@
 from lifttrestle.internal.fleet.state.roster import Roster
 from lifttrestle.internal.fleet.state.roster import ROUTER_PREFIX
 
-# All that is in force is told to all routers this often.
-TELL_SECONDS = 1.0
-# Changes that come within this time go into one message.
-GATHER_SECONDS = 0.02
-# A router that stands in for a silent one tells all for this long.
-STAND_IN_SECONDS = 3.0
-# A start waits so long for another router to tell of the limits in force, and
-# asks this often. One that answers is enough; routers that are busy answer in
-# some tenths of a second.
-SETTLE_SECONDS = 1.0
-ASK_SECONDS = 0.1
-# Items of one message: some 40 bytes each, of at most 8 KiB.
+# Interval of sending all limits in force to all routers.
+UPDATE_SECONDS = 1.0
+# Changes within this time are sent in one message.
+BATCH_SECONDS = 0.02
+# How long a router that gets queries broadcasts for a silent primary.
+FAILOVER_SECONDS = 3.0
+# How long a starting router waits for the limits of another router, and how
+# often it requests them. One answer is enough; busy routers answer within some
+# tenths of a second.
+SYNC_TIMEOUT_SECONDS = 1.0
+SYNC_RETRY_SECONDS = 0.1
+# An item takes about 40 bytes, a message at most 8 KiB.
 MAX_ITEMS = 100
 Message = LimitUpdate | LimitSyncRequest | PermitQuery | PermitAnswer
 Send = Callable[[Message, str], None]
 
 
-class LimitTelling:
-    """Sends and takes news of limits.
+class LimitReplicator:
+    """Sends limits to other routers and applies those received.
 
-    :param knows_upstreams: returns whether the directory was read.
+    :param knows_upstreams: returns whether the directory was loaded.
     :ivar send: sends a message to the router with a key.
     """
 
@@ -77,123 +78,128 @@
         self._clock = clock
         self._knows_upstreams = knows_upstreams
         self._changed: set[int] = set()
-        self._news = asyncio.Event()
-        self._told_at = clock.monotonic()
-        self._standing_in_until: dict[str, float] = {}
-        self._asking_since: float | None = None
-        self._asked_at = -math.inf
-        self._settled = False
+        self._has_changes = asyncio.Event()
+        self._updated_at = clock.monotonic()
+        self._failover_until: dict[str, float] = {}
+        self._sync_started_at: float | None = None
+        self._sync_requested_at = -math.inf
+        self._synced = False
         self.send: Send = lambda message, key: None
 
-    def tell_soon(self, held: HeldLimit) -> None:
-        """Tell of a limit that has changed."""
-        self._changed.add(held.digest)
-        self._news.set()
+    def queue_update(self, limit: LimitState) -> None:
+        """Queue a changed limit for the next batch of updates."""
+        self._changed.add(limit.digest)
+        self._has_changes.set()
 
-    def stand_in(self, held: HeldLimit) -> None:
-        """Tell all of limits for a while: the first router was not reached.
+    def begin_failover(self, limit: LimitState) -> None:
+        """Broadcast for ``FAILOVER_SECONDS``: the primary was not reached.
 
-        Nothing changes if this router is the first.
+        Does nothing if this router is the primary.
         """
-        if not self._allocators.is_first(held.data_centre):
-            until = self._clock.monotonic() + STAND_IN_SECONDS
-            self._standing_in_until[held.data_centre] = until
-
-    def take_call(self, call: LimitSyncRequest) -> None:
-        """Tell a router that has just started all limits."""
-        limited = [held for held in self._registry if held.needs_permits]
-        key = f'{ROUTER_PREFIX}{call.vm}'
-        self._send_items(self._build(limited), [key], whole=True)
-
-    def take_news(self, news: LimitUpdate) -> None:
-        """Take in what another router believes."""
-        self._settled = self._settled or news.whole
-        for item in news.items:
+        if not self._allocators.is_primary(limit.data_centre):
+            until = self._clock.monotonic() + FAILOVER_SECONDS
+            self._failover_until[limit.data_centre] = until
+
+    def handle_sync_request(self, request: LimitSyncRequest) -> None:
+        """Send all limits to a router that has just started."""
+        limited = [limit for limit in self._registry if limit.needs_permits]
+        key = f'{ROUTER_PREFIX}{request.vm}'
+        self._send_items(self._build_items(limited), [key], whole=True)
+
+    def handle_update(self, update: LimitUpdate) -> None:
+        """Apply the limits that another router knows."""
+        self._synced = self._synced or update.whole
+        for item in update.items:
             upstream = self._directory.get_by_digest(item.start)
             known = self._registry.get(item.start)
-            told = item.rate is not None or item.recovering
-            if upstream is None or (known is None and not told):
+            needs_permits = item.rate is not None or item.recovering
+            if upstream is None or (known is None and not needs_permits):
                 continue
-            held = known or self._registry.hold(upstream)
-            key = f'{ROUTER_PREFIX}{news.vm}'
-            changed = self._registry.take_item(held, item, news.vm, key)
-            if changed and self._allocators.is_first(held.data_centre):
-                self.tell_soon(held)
+            limit = known or self._registry.get_or_create(upstream)
+            key = f'{ROUTER_PREFIX}{update.vm}'
+            changed = self._registry.merge_item(limit, item, update.vm, key)
+            if changed and self._allocators.is_primary(limit.data_centre):
+                self.queue_update(limit)
 
     def is_synced(self) -> bool:
-        """Return whether others had the time to tell of their limits."""
-        if self._settled:
+        """Return whether other routers sent their limits, or had time to."""
+        if self._synced:
             return True
-        # What is told of an upstream that is not known yet is passed over.
+        # Limits of upstreams that are not loaded yet would be ignored.
         if self._roster.loaded and self._knows_upstreams():
-            self._settled = self._ask_others()
-        return self._settled
+            self._synced = self._request_sync()
+        return self._synced
 
-    def _ask_others(self) -> bool:
-        """Ask those that know most; return whether to wait no more."""
+    def _request_sync(self) -> bool:
+        """Request limits from all allocators; return whether to stop waiting.
+
+        Allocators know most limits.
+        """
         now = self._clock.monotonic()
-        if self._asking_since is None:
-            self._asking_since = now
-        others = self._allocators.list_everywhere() - {self._roster.key}
-        if now - self._asked_at >= ASK_SECONDS:
-            self._asked_at = now
+        if self._sync_started_at is None:
+            self._sync_started_at = now
+        others = self._allocators.list_of_all_data_centres() - {
+            self._roster.key
+        }
+        if now - self._sync_requested_at >= SYNC_RETRY_SECONDS:
+            self._sync_requested_at = now
             for key in others:
                 self.send(LimitSyncRequest(self._vm), key)
-        return not others or now - self._asking_since > SETTLE_SECONDS
+        return not others or now - self._sync_started_at > SYNC_TIMEOUT_SECONDS
 
     async def run(self) -> None:
-        """Tell what changes, for ever."""
+        """Send changes in batches until cancelled."""
         while True:
-            await self._news.wait()
-            await self._clock.sleep(GATHER_SECONDS)
-            self._news.clear()
-            self.tell_changes()
-
-    def tell_changes(self) -> None:
-        """Tell what has changed."""
-        held = [self._registry.get(digest) for digest in self._changed]
+            await self._has_changes.wait()
+            await self._clock.sleep(BATCH_SECONDS)
+            self._has_changes.clear()
+            self.send_changes()
+
+    def send_changes(self) -> None:
+        """Send the limits that have changed."""
+        changed = [self._registry.get(digest) for digest in self._changed]
         self._changed.clear()
-        self._tell([item for item in held if item is not None])
+        self._send_updates([limit for limit in changed if limit is not None])
 
-    def tell_regularly(self) -> None:
-        """Tell what is in force, if that was not done lately."""
+    def send_periodically(self) -> None:
+        """Send the limits in force, once every ``UPDATE_SECONDS``."""
         now = self._clock.monotonic()
-        if now - self._told_at < TELL_SECONDS:
+        if now - self._updated_at < UPDATE_SECONDS:
             return
-        self._told_at = now
-        self._tell(
-            [held for held in self._registry if self._is_due(held, now)]
+        self._updated_at = now
+        self._send_updates(
+            [limit for limit in self._registry if self._is_due(limit, now)]
         )
 
-    def _is_due(self, held: HeldLimit, now: float) -> bool:
-        if self._speaks_for(held.data_centre, now):
-            return held.is_news(now)
-        return held.needs_permits and not held.confirmed
+    def _is_due(self, limit: LimitState, now: float) -> bool:
+        if self._broadcasts_for(limit.data_centre, now):
+            return limit.needs_update(now)
+        return limit.needs_permits and not limit.confirmed
 
-    def _speaks_for(self, data_centre: str, now: float) -> bool:
-        """Return whether this router tells all of a data centre's limits."""
-        if self._allocators.is_first(data_centre):
+    def _broadcasts_for(self, data_centre: str, now: float) -> bool:
+        """Return whether this router broadcasts a data centre's limits."""
+        if self._allocators.is_primary(data_centre):
             return True
-        return self._standing_in_until.get(data_centre, now) > now
+        return self._failover_until.get(data_centre, now) > now
 
-    def _tell(self, told: list[HeldLimit]) -> None:
-        """Tell all of what this router speaks for, and others of the rest."""
+    def _send_updates(self, due: list[LimitState]) -> None:
+        """Broadcast limits as primary; report the others to their primary."""
         now = self._clock.monotonic()
-        by_hearer: dict[str, list[HeldLimit]] = {}
-        for held in told:
-            hearer = self._allocators.get_first(held.data_centre)
-            if self._speaks_for(held.data_centre, now):
-                hearer = self._roster.key
-            by_hearer.setdefault(hearer, []).append(held)
-        for hearer, limits in by_hearer.items():
-            hearers = [hearer]
-            if hearer == self._roster.key:
-                hearers = self._roster.list_others()
-            self._send_items(self._build(limits), hearers)
-
-    def _build(self, told: list[HeldLimit]) -> list[LimitItem]:
+        by_receiver: dict[str, list[LimitState]] = {}
+        for limit in due:
+            receiver = self._allocators.get_primary(limit.data_centre)
+            if self._broadcasts_for(limit.data_centre, now):
+                receiver = self._roster.key
+            by_receiver.setdefault(receiver, []).append(limit)
+        for receiver, limits in by_receiver.items():
+            receivers = [receiver]
+            if receiver == self._roster.key:
+                receivers = self._roster.list_others()
+            self._send_items(self._build_items(limits), receivers)
+
+    def _build_items(self, limits: list[LimitState]) -> list[LimitItem]:
         now = self._clock.monotonic()
-        return [held.build_item(now) for held in told]
+        return [limit.build_item(now) for limit in limits]
 
     def _send_items(
         self,
@@ -202,7 +208,7 @@
         *,
         whole: bool = False,
     ) -> None:
-        """Send what is believed, also if it is nothing."""
+        """Send items in messages of ``MAX_ITEMS``, at least one message."""
         for first in range(0, max(len(items), 1), MAX_ITEMS):
             part = items[first : first + MAX_ITEMS]
             for key in keys:
--- a/tests/cover/test_limit_memory.py
+++ b/tests/cover/test_limit_memory.py
@@ -56,8 +56,8 @@
     def get_allocator(self):
         """Return the number of the router that gives permits."""
         limits = self.design.limits[0]
-        allocators: PermitAllocators = limits._telling._allocators
-        return int(allocators.get_first('a').removeprefix('router/r'))
+        allocators: PermitAllocators = limits._replicator._allocators
+        return int(allocators.get_primary('a').removeprefix('router/r'))
 
     def list_others(self):
         return [n for n in range(ROUTERS) if n != self.get_allocator()]
@@ -186,14 +186,16 @@
 
     async def test_news_of_an_unknown_start_are_passed_over(self):
         item = LimitItem(12345, 1.0, 0.1, 0.1)
-        self.design.limits[0]._telling.take_news(LimitUpdate('r1', [item]))
+        self.design.limits[0]._replicator.handle_update(
+            LimitUpdate('r1', [item])
+        )
         self.assertEqual(len(self.design.limits[0]), 0)
 
     async def test_messages_that_are_none_are_refused(self):
         for rate in (-1.0, float('nan'), float('inf')):
-            news = LimitUpdate('r1', [LimitItem(1, rate, 0.0, 0.0)])
+            update = LimitUpdate('r1', [LimitItem(1, rate, 0.0, 0.0)])
             with self.assertRaises(ValueError):
-                read_message(msgspec.msgpack.encode(news))
+                read_message(msgspec.msgpack.encode(update))
 
     async def test_start_asks_others_before_it_is_ready(self):
         self.answer(3, 1.0)
--- a/tests/nocover/test_limits_command.py
+++ b/tests/nocover/test_limits_command.py
@@ -21,7 +21,7 @@
 
 from lifttrestle.internal.cli.main import main
 from lifttrestle.internal.clock.manual import ManualClock
-from lifttrestle.internal.fleet.limits.limit_state import HeldLimit
+from lifttrestle.internal.fleet.limits.limit_state import LimitState
 from lifttrestle.internal.fleet.path.doors import MetricsDoor
 from lifttrestle.internal.fleet.policy.limit_belief import LimitSign
 from lifttrestle.internal.fleet.policy.limit_permits import PermitBucket
@@ -37,13 +37,13 @@
     def setUp(self):
         clock = ManualClock(START)
         clock.advance(20.0)
-        given = HeldLimit('p1@17', 1, 'a')
+        given = LimitState('p1@17', 1, 'a')
         given.belief.note(LimitSign(1.2, 10.0, 17.5))
         given.bucket = PermitBucket(1.2, 1.0, 0.0)
         given.bucket.take(0, 5.0)
-        other = HeldLimit('p2@17', 2, 'b')
+        other = LimitState('p2@17', 2, 'b')
         other.belief.note(LimitSign(0.4, 10.0, 19.0))
-        ended = HeldLimit('p3@17', 3, 'b', recovering=True)
+        ended = LimitState('p3@17', 3, 'b', recovering=True)
         ended.belief.ended_at = 18.0
         self.limits = [ended, other, given]
         door = MetricsDoor(FleetMetrics(), self.limits, clock)
--- a/tests/nocover/test_upstream_limits.py
+++ b/tests/nocover/test_upstream_limits.py
@@ -209,7 +209,7 @@
             await fleet.load(9, 40.0)
             router = fleet.make_router('front-new')
             # How long it waits is tested with a clock that is passed in.
-            with mock.patch.object(replicator, 'SETTLE_SECONDS', 60.0):
+            with mock.patch.object(replicator, 'SYNC_TIMEOUT_SECONDS', 60.0):
                 await router.start()
                 try:
                     await wait_until(router.is_ready)
