--- a/benchmarks/upstream_limits.py
+++ b/benchmarks/upstream_limits.py
@@ -18,9 +18,9 @@
 import sys
 
 from tests.support.played_limits import EqualShares
-from tests.support.played_limits import LimitPlay
+from tests.support.played_limits import LimitScenario
 from tests.support.played_limits import Permits
-from tests.support.played_limits import play_limits
+from tests.support.played_limits import simulate_limits
 from tests.support.played_limits import Unread
 
 DESIGNS = (Unread, EqualShares, Permits)
@@ -35,14 +35,16 @@
     for count in routers:
         for rate in RATES:
             for limited in (1 / 9, 1 / 3):
-                play = LimitPlay(count, rate, LOAD * count, limited=limited)
+                play = LimitScenario(
+                    count, rate, LOAD * count, limited=limited
+                )
                 for design in DESIGNS:
-                    outcome = play_limits(play, design)
+                    outcome = simulate_limits(play, design)
                     print(
                         f'{count:4d} routers, {rate:5.1f} a second at'
                         f' {limited:4.2f} of the upstreams,'
                         f' {design.__name__:12s}'
-                        f' most {outcome.most:7.2f},'
+                        f' most {outcome.peak:7.2f},'
                         f' used {outcome.used:7.2f},'
                         f' served {outcome.served:.3f},'
                         f' {outcome.messages:6.0f} messages a second,'
--- a/tests/cover/test_limit_memory.py
+++ b/tests/cover/test_limit_memory.py
@@ -24,9 +24,9 @@
 from lifttrestle.internal.fleet.state.load_messages import read_message
 from lifttrestle.internal.fleet.state.rows import VersionedRow
 from tests.support.entries import make_entry
-from tests.support.played_limits import LimitPlay
+from tests.support.played_limits import LimitScenario
+from tests.support.played_limits import LimitSimulation
 from tests.support.played_limits import Permits
-from tests.support.played_limits import PlayedLimits
 
 ROUTERS = 8
 NEEDY = 5
@@ -35,7 +35,9 @@
 
 class TestLimitsOfRouters(unittest.IsolatedAsyncioTestCase):
     def setUp(self):
-        self.play = PlayedLimits(LimitPlay(ROUTERS, 1.0, 0.0, upstreams=4))
+        self.play = LimitSimulation(
+            LimitScenario(ROUTERS, 1.0, 0.0, upstreams=4)
+        )
 
     async def asyncSetUp(self):
         self.design = Permits(self.play)
--- a/tests/cover/test_upstream_limits.py
+++ b/tests/cover/test_upstream_limits.py
@@ -15,62 +15,62 @@
 import dataclasses
 import unittest
 
-from tests.support.played_limits import LimitPlay
-from tests.support.played_limits import play_limits
+from tests.support.played_limits import LimitScenario
+from tests.support.played_limits import simulate_limits
 
 # Requests a second for each router: far more than limited upstreams take.
 LOAD = 8.0
 
 
 def make_play(routers, rate, **fields):
-    return LimitPlay(routers, rate, LOAD * routers, **fields)
+    return LimitScenario(routers, rate, LOAD * routers, **fields)
 
 
 class TestPlayed(unittest.TestCase):
     def assert_kept(self, outcome, used=0.8):
-        self.assertLessEqual(outcome.most, 1.0, outcome)
+        self.assertLessEqual(outcome.peak, 1.0, outcome)
         self.assertGreaterEqual(outcome.used, used, outcome)
 
     def test_six_routers_use_the_limits_and_no_more(self):
         for rate in (0.4, 1.2, 5.0):
             with self.subTest(rate):
-                outcome = play_limits(make_play(6, rate))
+                outcome = simulate_limits(make_play(6, rate))
                 self.assert_kept(outcome)
                 self.assertEqual(outcome.served, 1.0)
 
     def test_ninety_routers_use_the_limits_and_no_more(self):
         for rate in (1.2, 10.0):
             with self.subTest(rate):
-                outcome = play_limits(make_play(90, rate, seconds=12.0))
+                outcome = simulate_limits(make_play(90, rate, seconds=12.0))
                 self.assert_kept(outcome)
                 self.assertEqual(outcome.served, 1.0)
 
     def test_hundreds_of_routers_keep_a_limit_of_one_in_ten_seconds(self):
-        play = LimitPlay(350, 0.1, 300.0, limited=1 / 9, seconds=8.0)
-        outcome = play_limits(play)
-        self.assertLessEqual(outcome.most, 1.0, outcome)
+        play = LimitScenario(350, 0.1, 300.0, limited=1 / 9, seconds=8.0)
+        outcome = simulate_limits(play)
+        self.assertLessEqual(outcome.peak, 1.0, outcome)
         self.assertEqual(outcome.served, 1.0)
 
     def test_where_all_upstreams_are_limited_they_get_what_they_take(self):
-        outcome = play_limits(make_play(6, 1.2, limited=1.0))
+        outcome = simulate_limits(make_play(6, 1.2, limited=1.0))
         self.assert_kept(outcome)
 
     def test_messages_that_get_lost_break_no_limit(self):
         for seed in range(3):
             with self.subTest(seed):
                 play = make_play(23, 1.2, loss=0.2, seed=seed)
-                self.assert_kept(play_limits(play), used=0.6)
+                self.assert_kept(simulate_limits(play), used=0.6)
 
     def test_cut_between_data_centres_breaks_no_limit(self):
         play = make_play(24, 1.2, cut=(6.0, 12.0))
-        outcome = play_limits(play)
+        outcome = simulate_limits(play)
         self.assert_kept(outcome, used=0.6)
         self.assertEqual(outcome.served, 1.0)
 
     def test_regression_upstream_got_all_back_at_once_after_its_limit(self):
         play = make_play(23, 1.2, upstreams=4, limited=0.25, seconds=24.0)
         play = dataclasses.replace(play, named=(2.0, 10.0))
-        arrived = play_limits(play).by_second
+        arrived = simulate_limits(play).by_second
         usual = play.per_second / play.upstreams
         self.assertLessEqual(arrived[11], 6)
         self.assertLessEqual(arrived[12], 12)
@@ -78,6 +78,6 @@
 
     def test_short_limits_are_learnt_and_ended_again_and_again(self):
         play = make_play(12, 0.4, named=(2.0, 5.0), seconds=20.0)
-        outcome = play_limits(play)
-        self.assertLessEqual(outcome.most, 1.0, outcome)
+        outcome = simulate_limits(play)
+        self.assertLessEqual(outcome.peak, 1.0, outcome)
         self.assertGreater(outcome.by_second[19], 10)
--- a/tests/support/played_limits.py
+++ b/tests/support/played_limits.py
@@ -61,7 +61,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class LimitPlay:
+class LimitScenario:
     """What happens.
 
     :ivar rate: that each limited upstream names.
@@ -88,7 +88,7 @@
 class Outcome:
     """What upstreams and callers got.
 
-    :ivar most: requests in the fullest window of any limited upstream, of
+    :ivar peak: requests in the fullest window of any limited upstream, of
         what is allowed, from routers that were told.
     :ivar used: part of the limits that was used, from two seconds after they
         were named until they end.
@@ -98,7 +98,7 @@
     :ivar microseconds: of processor time for each request.
     """
 
-    most: float = 0.0
+    peak: float = 0.0
     used: float = 0.0
     served: float = 0.0
     messages: float = 0.0
@@ -111,7 +111,7 @@
 class LimitDesign(abc.ABC):
     """A way to keep limits over many routers."""
 
-    def __init__(self, play: 'PlayedLimits') -> None:
+    def __init__(self, play: 'LimitSimulation') -> None:
         self.play = play
 
     @abc.abstractmethod
@@ -299,11 +299,11 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
 
-class PlayedLimits:
+class LimitSimulation:
     """One load on a number of routers and upstreams."""
 
     def __init__(
-        self, settings: LimitPlay, design: type[LimitDesign] = Permits
+        self, settings: LimitScenario, design: type[LimitDesign] = Permits
     ) -> None:
         self.settings = settings
         self.clock = ManualClock(START)
@@ -440,7 +440,7 @@
                 ),
                 default=0,
             )
-            outcome.most = max(outcome.most, fullest / allowed)
+            outcome.peak = max(outcome.peak, fullest / allowed)
             used += sum(begin + 2 <= at < end for at, _ in arrived)
             for at, _ in arrived:
                 outcome.by_second[int(at)] += 1
@@ -452,12 +452,12 @@
         return outcome
 
 
-def play_limits(
-    settings: LimitPlay, design: type[LimitDesign] = Permits
+def simulate_limits(
+    settings: LimitScenario, design: type[LimitDesign] = Permits
 ) -> Outcome:
     """Play one load."""
 
     async def play() -> Outcome:
-        return await PlayedLimits(settings, design).run()
+        return await LimitSimulation(settings, design).run()
 
     return asyncio.run(play())
