--- a/benchmarks/upstream_limits.py
+++ b/benchmarks/upstream_limits.py
@@ -17,11 +17,11 @@
 
 import sys
 
-from tests.support.played_limits import EqualShares
-from tests.support.played_limits import LimitScenario
-from tests.support.played_limits import Permits
-from tests.support.played_limits import simulate_limits
-from tests.support.played_limits import Unread
+from tests.support.limit_simulation import EqualShares
+from tests.support.limit_simulation import LimitScenario
+from tests.support.limit_simulation import Permits
+from tests.support.limit_simulation import simulate_limits
+from tests.support.limit_simulation import Unread
 
 DESIGNS = (Unread, EqualShares, Permits)
 ROUTERS = (6, 23, 90, 350)
--- a/tests/cover/test_limit_memory.py
+++ b/tests/cover/test_limit_memory.py
@@ -24,9 +24,9 @@
 from lifttrestle.internal.fleet.state.load_messages import read_message
 from lifttrestle.internal.fleet.state.rows import VersionedRow
 from tests.support.entries import make_entry
-from tests.support.played_limits import LimitScenario
-from tests.support.played_limits import LimitSimulation
-from tests.support.played_limits import Permits
+from tests.support.limit_simulation import LimitScenario
+from tests.support.limit_simulation import LimitSimulation
+from tests.support.limit_simulation import Permits
 
 ROUTERS = 8
 NEEDY = 5
--- a/tests/cover/test_upstream_limits.py
+++ b/tests/cover/test_upstream_limits.py
@@ -15,8 +15,8 @@
 import dataclasses
 import unittest
 
-from tests.support.played_limits import LimitScenario
-from tests.support.played_limits import simulate_limits
+from tests.support.limit_simulation import LimitScenario
+from tests.support.limit_simulation import simulate_limits
 
 # Requests a second for each router: far more than limited upstreams take.
 LOAD = 8.0
--- a/tests/nocover/test_limit_soak.py
+++ b/tests/nocover/test_limit_soak.py
@@ -28,8 +28,8 @@
 import sys
 import unittest
 
-from tests.support.limit_play import LimitOutcome
-from tests.support.limit_play import play
+from tests.support.limit_soak import LimitOutcome
+from tests.support.limit_soak import play
 from tests.support.router_play import play_by_hand
 
 SEEDS = (1, 2)
