--- a/tests/cover/test_limit_memory.py
+++ b/tests/cover/test_limit_memory.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Tests of what routers tell each other of limits, and whom they ask."""
+"""Tests of the replication of limits and of permits between routers."""
 
 import asyncio
 import unittest
@@ -29,34 +29,34 @@
 from tests.support.limit_simulation import Permits
 
 ROUTERS = 8
-NEEDY = 5
-KNOWN_SECONDS = 0.1
+RANK = 5
+PROPAGATION_SECONDS = 0.1
 
 
 class TestLimitsOfRouters(unittest.IsolatedAsyncioTestCase):
     def setUp(self):
-        self.play = LimitSimulation(
+        self.simulation = LimitSimulation(
             LimitScenario(ROUTERS, 1.0, 0.0, upstreams=4)
         )
 
     async def asyncSetUp(self):
-        self.design = Permits(self.play)
+        self.design = Permits(self.simulation)
         self.addAsyncCleanup(self.design.close)
-        await self.play.pass_time(1.0)
+        await self.simulation.pass_time(1.0)
 
-    def answer(self, router, rate, upstream=0, seconds_ago=0.05):
-        """Have one router hear an answer that names a limit, or none."""
-        now = self.play.clock.monotonic()
+    def receive_answer(self, router, rate, upstream=0, seconds_ago=0.05):
+        """Have a router receive an answer that reports a limit, or None."""
+        now = self.simulation.clock.monotonic()
         self.design.note_answer(router, upstream, rate, now - seconds_ago)
 
-    def count_knowing(self, upstream=0):
+    def count_limited(self, upstream=0):
         return sum(
             self.design.is_limited(router, upstream)
             for router in range(ROUTERS)
         )
 
     def get_allocator(self):
-        """Return the number of the router that gives permits."""
+        """Return the number of the primary allocator."""
         limits = self.design.limits[0]
         allocators: PermitAllocators = limits._replicator._allocators
         return int(allocators.get_primary('a').removeprefix('router/r'))
@@ -65,61 +65,61 @@
         return [n for n in range(ROUTERS) if n != self.get_allocator()]
 
     async def test_all_know_soon_of_what_one_has_heard(self):
-        self.answer(3, 1.0)
-        await self.play.pass_time(KNOWN_SECONDS)
-        self.assertEqual(self.count_knowing(), ROUTERS)
+        self.receive_answer(3, 1.0)
+        await self.simulation.pass_time(PROPAGATION_SECONDS)
+        self.assertEqual(self.count_limited(), ROUTERS)
 
     async def test_limit_that_all_hear_at_once_is_told_once(self):
-        before = self.play.messages
+        before = self.simulation.messages
         for router in range(ROUTERS):
-            self.answer(router, 1.0)
-        await self.play.pass_time(KNOWN_SECONDS)
-        told = self.play.messages - before
-        self.assertLessEqual(told, 3 * ROUTERS)
+            self.receive_answer(router, 1.0)
+        await self.simulation.pass_time(PROPAGATION_SECONDS)
+        sent = self.simulation.messages - before
+        self.assertLessEqual(sent, 3 * ROUTERS)
 
     async def test_end_that_one_hears_is_given_back_in_steps_by_all(self):
-        self.answer(3, 1.0)
-        await self.play.pass_time(1.0)
-        self.answer(5, None)
-        await self.play.pass_time(KNOWN_SECONDS)
-        self.assertEqual(self.count_knowing(), ROUTERS)
-        await self.play.pass_time(9.0)
-        self.assertEqual(self.count_knowing(), 0)
+        self.receive_answer(3, 1.0)
+        await self.simulation.pass_time(1.0)
+        self.receive_answer(5, None)
+        await self.simulation.pass_time(PROPAGATION_SECONDS)
+        self.assertEqual(self.count_limited(), ROUTERS)
+        await self.simulation.pass_time(9.0)
+        self.assertEqual(self.count_limited(), 0)
 
     async def test_regression_new_giver_of_permits_gave_all_back_at_once(self):
-        self.answer(3, 1.0)
-        await self.play.pass_time(1.0)
-        self.answer(5, None)
-        await self.play.pass_time(KNOWN_SECONDS)
+        self.receive_answer(3, 1.0)
+        await self.simulation.pass_time(1.0)
+        self.receive_answer(5, None)
+        await self.simulation.pass_time(PROPAGATION_SECONDS)
         self.design.restart(self.get_allocator())
-        await self.play.pass_time(KNOWN_SECONDS)
+        await self.simulation.pass_time(PROPAGATION_SECONDS)
         asking = self.list_others()[0]
-        granted = sum([await self._ask(asking) for _ in range(40)])
+        granted = sum([await self._request_permit(asking) for _ in range(40)])
         self.assertLessEqual(granted, 8)
         self.assertGreaterEqual(granted, 1)
         self.assertTrue(self.design.is_limited(asking, 0))
-        await self.play.pass_time(11.0)
-        self.assertEqual(self.count_knowing(), 0)
+        await self.simulation.pass_time(11.0)
+        self.assertEqual(self.count_limited(), 0)
 
     async def test_answer_from_before_at_another_router_does_not_end_it(self):
-        self.answer(3, 1.0)
-        await self.play.pass_time(1.0)
-        self.answer(5, None, seconds_ago=2.0)
-        await self.play.pass_time(6.0)
-        self.assertEqual(self.count_knowing(), ROUTERS)
+        self.receive_answer(3, 1.0)
+        await self.simulation.pass_time(1.0)
+        self.receive_answer(5, None, seconds_ago=2.0)
+        await self.simulation.pass_time(6.0)
+        self.assertEqual(self.count_limited(), ROUTERS)
 
     async def test_answer_in_flight_elsewhere_does_not_bring_it_back(self):
-        self.answer(3, 1.0)
-        await self.play.pass_time(1.0)
-        self.answer(5, None)
-        await self.play.pass_time(1.0)
-        self.answer(6, 1.0, seconds_ago=2.0)
-        await self.play.pass_time(6.0)
-        self.assertEqual(self.count_knowing(), 0)
+        self.receive_answer(3, 1.0)
+        await self.simulation.pass_time(1.0)
+        self.receive_answer(5, None)
+        await self.simulation.pass_time(1.0)
+        self.receive_answer(6, 1.0, seconds_ago=2.0)
+        await self.simulation.pass_time(6.0)
+        self.assertEqual(self.count_limited(), 0)
 
     async def test_new_start_under_the_same_name_is_not_limited(self):
-        self.answer(3, 1.0)
-        await self.play.pass_time(KNOWN_SECONDS)
+        self.receive_answer(3, 1.0)
+        await self.simulation.pass_time(PROPAGATION_SECONDS)
         for directory in self.design.directories:
             known = directory.get('p0')
             entry = make_entry(
@@ -128,8 +128,8 @@
             value = msgspec.json.encode(entry)
             directory.tell_ended = self._make_forget(directory)
             directory.take(VersionedRow('p0', value, 2))
-        await self.play.pass_time(2.0)
-        self.assertEqual(self.count_knowing(), 0)
+        await self.simulation.pass_time(2.0)
+        self.assertEqual(self.count_limited(), 0)
 
     def _make_forget(self, directory):
         number = self.design.directories.index(directory)
@@ -137,53 +137,53 @@
         return lambda upstream, end: limits.forget(upstream)
 
     async def test_second_router_gives_a_quarter_while_the_first_is_away(self):
-        self.answer(3, 4.0)
-        await self.play.pass_time(1.0)
-        self.play.takers[self.get_allocator()] = lambda data: None
+        self.receive_answer(3, 4.0)
+        await self.simulation.pass_time(1.0)
+        self.simulation.handlers[self.get_allocator()] = lambda data: None
         asking = self.list_others()[0]
         granted = 0
         for _ in range(400):
-            granted += await self._ask(asking)
+            granted += await self._request_permit(asking)
         seconds = 400 * 0.05
         self.assertGreaterEqual(granted, 0.6 * seconds)
         self.assertLessEqual(granted, 1.3 * seconds)
 
-    async def _ask(self, router):
-        """Ask for a permit, and let a twentieth of a second pass."""
+    async def _request_permit(self, router):
+        """Request a permit, then let a twentieth of a second pass."""
         upstream = self.design.get_upstream(router, 0)
         limits = self.design.limits[router]
         granted = False
-        if not limits.is_refused(upstream, NEEDY):
-            asked = asyncio.ensure_future(
-                limits.request_permit(upstream, NEEDY)
+        if not limits.is_refused(upstream, RANK):
+            request = asyncio.ensure_future(
+                limits.request_permit(upstream, RANK)
             )
-            while not asked.done():
-                await self.play.pass_time(0.01)
-            granted = not asked.result().wait
-        await self.play.pass_time(0.05)
+            while not request.done():
+                await self.simulation.pass_time(0.01)
+            granted = not request.result().wait
+        await self.simulation.pass_time(0.05)
         return granted
 
     async def test_router_that_has_missed_the_news_learns_from_its_query(self):
         allocator = self.get_allocator()
         others = self.list_others()
-        self.answer(others[0], 1.0)
-        await self.play.pass_time(KNOWN_SECONDS)
-        # As after a start that heard nothing of it.
+        self.receive_answer(others[0], 1.0)
+        await self.simulation.pass_time(PROPAGATION_SECONDS)
+        # As after a restart that received no update of it.
         upstream = self.design.get_upstream(allocator, 0)
         self.design.limits[allocator].forget(upstream)
         self.assertFalse(self.design.is_limited(allocator, 0))
-        await self._ask(others[0])
+        await self._request_permit(others[0])
         self.assertTrue(self.design.is_limited(allocator, 0))
 
     async def test_fault_is_told_once_and_changes_nothing(self):
-        self.answer(3, 1.0)
+        self.receive_answer(3, 1.0)
         limits = self.design.limits[3]
         upstream = self.design.get_upstream(3, 0)
-        told = []
-        limits._refusals.note = lambda *fields: told.append(fields)
+        faults = []
+        limits._refusals.note = lambda *fields: faults.append(fields)
         for _ in range(3):
             limits.note_answer(upstream, NamedLimit(fault=ValueError('x')), 0)
-        self.assertEqual(len(told), 1)
+        self.assertEqual(len(faults), 1)
         self.assertTrue(limits.is_limited(upstream))
 
     async def test_news_of_an_unknown_start_are_passed_over(self):
@@ -200,76 +200,76 @@
                 read_message(msgspec.msgpack.encode(update))
 
     async def test_start_asks_others_before_it_is_ready(self):
-        self.answer(3, 1.0)
-        await self.play.pass_time(KNOWN_SECONDS)
+        self.receive_answer(3, 1.0)
+        await self.simulation.pass_time(PROPAGATION_SECONDS)
         number = self.list_others()[0]
         self.design.restart(number)
         self.assertFalse(self.design.limits[number].is_synced())
-        await self.play.pass_time(0.05)
+        await self.simulation.pass_time(0.05)
         self.assertTrue(self.design.limits[number].is_synced())
         self.assertTrue(self.design.is_limited(number, 0))
 
     async def test_regression_start_heard_limits_before_it_knew_upstreams(
         self,
     ):
-        self.answer(3, 1.0)
-        await self.play.pass_time(KNOWN_SECONDS)
+        self.receive_answer(3, 1.0)
+        await self.simulation.pass_time(PROPAGATION_SECONDS)
         number = self.list_others()[0]
         known = self.design.directories[number]
         self.design.directories[number] = self.design.make_directory(0)
         listed = False
         self.design.restart(number, lambda: listed)
-        await self.play.pass_time(0.5)
+        await self.simulation.pass_time(0.5)
         self.assertFalse(self.design.limits[number].is_synced())
-        for upstream in range(self.play.settings.upstreams):
+        for upstream in range(self.simulation.settings.upstreams):
             row = self.design.make_row(upstream)
             self.design.directories[number].take(row)
         listed = True
         self.assertFalse(self.design.limits[number].is_synced())
-        await self.play.pass_time(0.1)
+        await self.simulation.pass_time(0.1)
         self.assertTrue(self.design.limits[number].is_synced())
         self.assertTrue(self.design.is_limited(number, 0))
         self.assertIsNotNone(known.get('p0'))
 
     async def test_regression_start_was_ready_before_busy_routers_told(self):
-        self.answer(3, 1.0)
-        await self.play.pass_time(KNOWN_SECONDS)
+        self.receive_answer(3, 1.0)
+        await self.simulation.pass_time(PROPAGATION_SECONDS)
         number = self.list_others()[0]
         for other in range(ROUTERS):
             if other != number:
-                self._hold_up(other, 0.5)
+                self._delay_messages(other, 0.5)
         self.design.restart(number)
         while not self.design.limits[number].is_synced():
-            await self.play.pass_time(0.01)
+            await self.simulation.pass_time(0.01)
         self.assertTrue(self.design.is_limited(number, 0))
 
-    def _hold_up(self, router, seconds):
-        take = self.play.takers[router]
-        self.play.takers[router] = lambda data: self.play.plan(
-            seconds, lambda: take(data)
+    def _delay_messages(self, router, seconds):
+        handle = self.simulation.handlers[router]
+        self.simulation.handlers[router] = lambda data: (
+            self.simulation.schedule(seconds, lambda: handle(data))
         )
 
     async def test_start_whose_first_question_is_lost_asks_again(self):
-        self.answer(3, 1.0)
-        await self.play.pass_time(KNOWN_SECONDS)
+        self.receive_answer(3, 1.0)
+        await self.simulation.pass_time(PROPAGATION_SECONDS)
         number = self.list_others()[0]
-        takers = dict(self.play.takers)
+        handlers = dict(self.simulation.handlers)
         for other in range(ROUTERS):
-            self.play.takers[other] = lambda data: None
+            self.simulation.handlers[other] = lambda data: None
         self.design.restart(number)
-        await self.play.pass_time(0.1)
-        own = self.play.takers[number]
-        self.play.takers.update(takers)
-        self.play.takers[number] = own
-        await self.play.pass_time(0.3)
+        await self.simulation.pass_time(0.1)
+        own = self.simulation.handlers[number]
+        self.simulation.handlers.update(handlers)
+        self.simulation.handlers[number] = own
+        await self.simulation.pass_time(0.3)
         self.assertTrue(self.design.limits[number].is_synced())
         self.assertTrue(self.design.is_limited(number, 0))
 
     async def test_start_that_nobody_answers_is_ready_soon(self):
         for number in range(1, ROUTERS):
-            self.play.takers[number] = lambda data: None
+            self.simulation.handlers[number] = lambda data: None
         self.design.restart(0)
-        await self.play.pass_time(0.9)
+        await self.simulation.pass_time(0.9)
         self.assertFalse(self.design.limits[0].is_synced())
-        await self.play.pass_time(0.2)
+        await self.simulation.pass_time(0.2)
         self.assertTrue(self.design.limits[0].is_synced())
--- a/tests/cover/test_upstream_limits.py
+++ b/tests/cover/test_upstream_limits.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Tests that routers together keep limits, in played loads."""
+"""Tests that routers together enforce limits, in simulated loads."""
 
 import dataclasses
 import unittest
@@ -18,66 +18,70 @@
 from tests.support.limit_simulation import LimitScenario
 from tests.support.limit_simulation import simulate_limits
 
-# Requests a second for each router: far more than limited upstreams take.
+# Requests per second and router, far more than limited upstreams accept.
 LOAD = 8.0
 
 
-def make_play(routers, rate, **fields):
+def make_scenario(routers, rate, **fields):
     return LimitScenario(routers, rate, LOAD * routers, **fields)
 
 
 class TestPlayed(unittest.TestCase):
-    def assert_kept(self, outcome, used=0.8):
+    def assert_enforced(self, outcome, used=0.8):
         self.assertLessEqual(outcome.peak, 1.0, outcome)
         self.assertGreaterEqual(outcome.used, used, outcome)
 
     def test_six_routers_use_the_limits_and_no_more(self):
         for rate in (0.4, 1.2, 5.0):
             with self.subTest(rate):
-                outcome = simulate_limits(make_play(6, rate))
-                self.assert_kept(outcome)
+                outcome = simulate_limits(make_scenario(6, rate))
+                self.assert_enforced(outcome)
                 self.assertEqual(outcome.served, 1.0)
 
     def test_ninety_routers_use_the_limits_and_no_more(self):
         for rate in (1.2, 10.0):
             with self.subTest(rate):
-                outcome = simulate_limits(make_play(90, rate, seconds=12.0))
-                self.assert_kept(outcome)
+                outcome = simulate_limits(
+                    make_scenario(90, rate, seconds=12.0)
+                )
+                self.assert_enforced(outcome)
                 self.assertEqual(outcome.served, 1.0)
 
     def test_hundreds_of_routers_keep_a_limit_of_one_in_ten_seconds(self):
-        play = LimitScenario(350, 0.1, 300.0, limited=1 / 9, seconds=8.0)
-        outcome = simulate_limits(play)
+        scenario = LimitScenario(350, 0.1, 300.0, limited=1 / 9, seconds=8.0)
+        outcome = simulate_limits(scenario)
         self.assertLessEqual(outcome.peak, 1.0, outcome)
         self.assertEqual(outcome.served, 1.0)
 
     def test_where_all_upstreams_are_limited_they_get_what_they_take(self):
-        outcome = simulate_limits(make_play(6, 1.2, limited=1.0))
-        self.assert_kept(outcome)
+        outcome = simulate_limits(make_scenario(6, 1.2, limited=1.0))
+        self.assert_enforced(outcome)
 
     def test_messages_that_get_lost_break_no_limit(self):
         for seed in range(3):
             with self.subTest(seed):
-                play = make_play(23, 1.2, loss=0.2, seed=seed)
-                self.assert_kept(simulate_limits(play), used=0.6)
+                scenario = make_scenario(23, 1.2, loss=0.2, seed=seed)
+                self.assert_enforced(simulate_limits(scenario), used=0.6)
 
     def test_cut_between_data_centres_breaks_no_limit(self):
-        play = make_play(24, 1.2, cut=(6.0, 12.0))
-        outcome = simulate_limits(play)
-        self.assert_kept(outcome, used=0.6)
+        scenario = make_scenario(24, 1.2, partition=(6.0, 12.0))
+        outcome = simulate_limits(scenario)
+        self.assert_enforced(outcome, used=0.6)
         self.assertEqual(outcome.served, 1.0)
 
     def test_regression_upstream_got_all_back_at_once_after_its_limit(self):
-        play = make_play(23, 1.2, upstreams=4, limited=0.25, seconds=24.0)
-        play = dataclasses.replace(play, named=(2.0, 10.0))
-        arrived = simulate_limits(play).by_second
-        usual = play.per_second / play.upstreams
-        self.assertLessEqual(arrived[11], 6)
-        self.assertLessEqual(arrived[12], 12)
-        self.assertGreaterEqual(arrived[22], 0.7 * usual)
+        scenario = make_scenario(
+            23, 1.2, upstreams=4, limited=0.25, seconds=24.0
+        )
+        scenario = dataclasses.replace(scenario, reporting=(2.0, 10.0))
+        arrivals = simulate_limits(scenario).by_second
+        usual = scenario.per_second / scenario.upstreams
+        self.assertLessEqual(arrivals[11], 6)
+        self.assertLessEqual(arrivals[12], 12)
+        self.assertGreaterEqual(arrivals[22], 0.7 * usual)
 
     def test_short_limits_are_learnt_and_ended_again_and_again(self):
-        play = make_play(12, 0.4, named=(2.0, 5.0), seconds=20.0)
-        outcome = simulate_limits(play)
+        scenario = make_scenario(12, 0.4, reporting=(2.0, 5.0), seconds=20.0)
+        outcome = simulate_limits(scenario)
         self.assertLessEqual(outcome.peak, 1.0, outcome)
         self.assertGreater(outcome.by_second[19], 10)
--- a/tests/support/limit_simulation.py
+++ b/tests/support/limit_simulation.py
@@ -10,11 +10,11 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""A played load on upstreams that name limits, without a network.
+"""Simulates load on upstreams that report limits, without a network.
 
-Requests arrive at random routers. Upstreams answer after a while, and bear
-the limit that is in force when they do. Messages between routers take a
-moment, and some are lost.
+Requests arrive at random routers. Upstreams answer after a delay, and each
+answer carries the limit in force at that time. Messages between routers are
+delayed, and some are lost.
 """
 
 import abc
@@ -50,26 +50,28 @@
 DATA_CENTRES = ('a', 'b', 'c', 'd')
 STEP_SECONDS = 0.01
 ANSWER_SECONDS = 0.1
-NEAR_SECONDS = 0.001
-FAR_SECONDS = 0.01
-# What the users' page allows, and from when it binds a router.
+LOCAL_DELAY_SECONDS = 0.001
+REMOTE_DELAY_SECONDS = 0.01
+# What the user documentation allows in a window, and how soon after an answer
+# with a limit a router must enforce it.
 WINDOW_SECONDS = 4.0
 ALLOWED_SHARE = 1.5
 ALLOWED_SLACK = 5.0
-TOLD_SECONDS = 0.5
+REACTION_SECONDS = 0.5
 URGENCY = 5
 
 
 @dataclasses.dataclass(frozen=True)
 class LimitScenario:
-    """What happens.
+    """Settings of a simulation.
 
-    :ivar rate: that each limited upstream names.
-    :ivar limited: part of the upstreams that name it.
-    :ivar named: seconds from which to which they do.
+    :ivar rate: requests per second that each limited upstream reports.
+    :ivar limited: fraction of the upstreams that report a limit.
+    :ivar reporting: begin and end of the reports, in seconds.
     :ivar per_second: requests of all callers together.
-    :ivar cut: seconds from and to which the data centres don't reach each
-        other's routers, while all reach all upstreams.
+    :ivar partition: begin and end, in seconds, of a network partition between
+        the routers of different data centres. All reach all upstreams.
+    :ivar loss: fraction of the messages between routers that is lost.
     """
 
     routers: int
@@ -78,24 +80,24 @@
     limited: float = 1 / 3
     upstreams: int = 9
     seconds: float = 20.0
-    named: tuple[float, float] = (2.0, 20.0)
-    cut: tuple[float, float] = (0.0, 0.0)
+    reporting: tuple[float, float] = (2.0, 20.0)
+    partition: tuple[float, float] = (0.0, 0.0)
     loss: float = 0.0
     seed: int = 1
 
 
 @dataclasses.dataclass
 class Outcome:
-    """What upstreams and callers got.
-
-    :ivar peak: requests in the fullest window of any limited upstream, of
-        what is allowed, from routers that were told.
-    :ivar used: part of the limits that was used, from two seconds after they
-        were named until they end.
-    :ivar served: part of the requests that an upstream took.
-    :ivar messages: between routers, for each second.
-    :ivar by_second: arrivals at the limited upstreams.
-    :ivar microseconds: of processor time for each request.
+    """What upstreams and callers received.
+
+    :ivar peak: requests in the fullest window of any limited upstream, as a
+        fraction of the allowed number, from routers that know of the limit.
+    :ivar used: fraction of the limits that was used, from two seconds after
+        they were first reported until they end.
+    :ivar served: fraction of the requests that an upstream accepted.
+    :ivar messages: between routers, per second.
+    :ivar by_second: arrivals at the limited upstreams in each second.
+    :ivar microseconds: processor time per request.
     """
 
     peak: float = 0.0
@@ -109,10 +111,10 @@
 
 
 class LimitDesign(abc.ABC):
-    """A way to keep limits over many routers."""
+    """Algorithm that enforces limits across many routers."""
 
-    def __init__(self, play: 'LimitSimulation') -> None:
-        self.play = play
+    def __init__(self, simulation: 'LimitSimulation') -> None:
+        self.simulation = simulation
 
     @abc.abstractmethod
     async def may_send(
@@ -124,47 +126,47 @@
     def note_answer(
         self, router: int, upstream: int, rate: float | None, sent_at: float
     ) -> None:
-        """Take in an answer."""
+        """Process an answer of an upstream."""
 
     @abc.abstractmethod
     def is_limited(self, router: int, upstream: int) -> bool:
         """Return whether a router knows of a limit."""
 
     async def close(self) -> None:
-        """End what was begun."""
+        """Release resources."""
 
 
 class Unread(LimitDesign):
-    """Nobody goes by the limit."""
+    """Ignores limits."""
 
     async def may_send(self, router, upstream, has_others):
-        """Return yes."""
+        """Return True."""
         return True
 
     def note_answer(self, router, upstream, rate, sent_at):
         """Do nothing."""
 
     def is_limited(self, router, upstream):
-        """Return no."""
+        """Return False."""
         return False
 
 
 class EqualShares(LimitDesign):
-    """Each router that knows keeps its part of the limit by itself."""
+    """Each router that knows of a limit enforces an equal share of it."""
 
-    def __init__(self, play):
-        super().__init__(play)
-        # Rate, level, and when that was.
+    def __init__(self, simulation):
+        super().__init__(simulation)
+        # Rate, level of the token bucket, and the time of that level.
         self._known: dict[tuple[int, int], tuple[float, float, float]] = {}
 
     async def may_send(self, router, upstream, has_others):
-        """Return whether the router's own part allows it."""
+        """Return whether the router's own share allows it."""
         known = self._known.get((router, upstream))
         if known is None:
             return True
         rate, level, at = known
-        now = self.play.clock.monotonic()
-        share = rate / self.play.settings.routers
+        now = self.simulation.clock.monotonic()
+        share = rate / self.simulation.settings.routers
         level = min(level + (now - at) * share, 1.0 + share / 4)
         granted = level >= 1.0
         level -= granted
@@ -172,8 +174,8 @@
         return granted
 
     def note_answer(self, router, upstream, rate, sent_at):
-        """Go by what the answer names."""
-        now = self.play.clock.monotonic()
+        """Apply the limit that the answer reports."""
+        now = self.simulation.clock.monotonic()
         known = self._known.get((router, upstream))
         if rate is None:
             self._known.pop((router, upstream), None)
@@ -181,98 +183,100 @@
             self._known[router, upstream] = (rate, 0.0, now)
 
     def is_limited(self, router, upstream):
-        """Return whether an answer has named a limit."""
+        """Return whether an answer has reported a limit."""
         return (router, upstream) in self._known
 
 
 class Permits(LimitDesign):
-    """What the product does."""
+    """Permits, as routers use them in production."""
 
-    def __init__(self, play):
-        super().__init__(play)
+    def __init__(self, simulation):
+        super().__init__(simulation)
         self.limits: list[UpstreamLimits] = []
         self.directories: list[UpstreamDirectory] = []
         self._rows = MemoryRows()
         self._tasks = []
-        for number in range(play.settings.routers):
+        for number in range(simulation.settings.routers):
             self.directories.append(
-                self.make_directory(play.settings.upstreams)
+                self.make_directory(simulation.settings.upstreams)
             )
             self.limits.append(self._start(number))
 
     def restart(
         self, number: int, knows_upstreams: Callable[[], bool] = lambda: True
     ) -> None:
-        """Have a router begin anew, with its view of the upstreams."""
+        """Restart a router; it keeps its directory of upstreams."""
         self._tasks[number].cancel()
         self.limits[number] = self._start(number, knows_upstreams)
 
     def _start(
         self, number: int, knows_upstreams: Callable[[], bool] = lambda: True
     ) -> UpstreamLimits:
-        play = self.play
+        simulation = self.simulation
         limits = UpstreamLimits(
             f'r{number}',
             self.directories[number],
             self._make_roster(number),
-            play.clock,
+            simulation.clock,
             InputRefusals(),
             knows_upstreams,
         )
         self._connect(limits, number)
-        beat = Beat(play.clock, play.source.random())
+        beat = Beat(simulation.clock, simulation.source.random())
         self._tasks.append(asyncio.create_task(limits.run(beat)))
         return limits
 
     def _make_roster(self, number: int) -> Roster:
-        play = self.play
-        place = play.get_place(number)
-        roster = Roster(self._rows, play.clock, f'r{number}', place)
+        simulation = self.simulation
+        data_centre = simulation.get_data_centre(number)
+        roster = Roster(
+            self._rows, simulation.clock, f'r{number}', data_centre
+        )
         roster.loaded = True
-        for other in range(play.settings.routers):
-            row = RouterRow(play.get_place(other), '127.0.0.1:9')
+        for other in range(simulation.settings.routers):
+            row = RouterRow(simulation.get_data_centre(other), '127.0.0.1:9')
             value = msgspec.json.encode(row)
             roster.take(VersionedRow(f'router/r{other}', value, 1))
         return roster
 
     def make_directory(self, upstreams: int) -> UpstreamDirectory:
-        """Return a directory of the first few upstreams."""
-        directory = UpstreamDirectory(PlatformFormat(), self.play.clock)
+        """Return a directory with the given number of upstreams."""
+        directory = UpstreamDirectory(PlatformFormat(), self.simulation.clock)
         for number in range(upstreams):
             directory.take(self.make_row(number))
         return directory
 
     def make_row(self, number: int) -> VersionedRow:
-        """Return an upstream's entry."""
+        """Return the table row of an upstream's entry."""
         entry = make_entry(
             born=1_767_225_600_000,
             address=f'127.0.0.1:{number + 1}',
-            zone=self.play.get_place(number),
+            zone=self.simulation.get_data_centre(number),
         )
         return VersionedRow(f'p{number}', msgspec.json.encode(entry), 1)
 
     def _connect(self, limits: UpstreamLimits, number: int) -> None:
-        takers = {}
+        by_type = {}
 
-        def take(data: bytes) -> None:
+        def handle(data: bytes) -> None:
             message = read_message(data)
-            takers[type(message)](message)
+            by_type[type(message)](message)
 
-        self.play.takers[number] = take
+        self.simulation.handlers[number] = handle
         limits.connect(
-            takers.__setitem__,
-            lambda message, key: self.play.send(
+            by_type.__setitem__,
+            lambda message, key: self.simulation.send(
                 number, int(key.removeprefix('router/r')), message
             ),
             lambda result: None,
         )
 
     def get_upstream(self, router, upstream):
-        """Return an upstream as one router knows it."""
+        """Return an upstream from the directory of one router."""
         return self.directories[router].get(f'p{upstream}')
 
     async def may_send(self, router, upstream, has_others):
-        """Ask for a permit."""
+        """Request a permit."""
         limits = self.limits[router]
         target = self.get_upstream(router, upstream)
         rank = rank_request(URGENCY, has_others=has_others, repeated=False)
@@ -281,26 +285,26 @@
         return not (await limits.request_permit(target, rank)).wait
 
     def note_answer(self, router, upstream, rate, sent_at):
-        """Take in what an answer names."""
+        """Pass the reported limit to the router."""
         self.limits[router].note_answer(
             self.get_upstream(router, upstream), NamedLimit(rate), sent_at
         )
 
     def is_limited(self, router, upstream):
-        """Return whether permits are needed."""
+        """Return whether requests need a permit."""
         return self.limits[router].is_limited(
             self.get_upstream(router, upstream)
         )
 
     async def close(self):
-        """End the routers' tasks."""
+        """Cancel the routers' tasks."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
 
 class LimitSimulation:
-    """One load on a number of routers and upstreams."""
+    """Simulates one load on a number of routers and upstreams."""
 
     def __init__(
         self, settings: LimitScenario, design: type[LimitDesign] = Permits
@@ -308,52 +312,52 @@
         self.settings = settings
         self.clock = ManualClock(START)
         self.source = random.Random(settings.seed)
-        self.takers: dict[int, object] = {}
+        self.handlers: dict[int, object] = {}
         self.messages = 0
         self._design = design
         self._numbers = itertools.count()
         self._due: list[tuple[float, int, object]] = []
-        self._arrived: dict[int, list[tuple[float, bool]]] = {}
-        # When each router first passed on an answer that names a limit.
-        self._told: dict[tuple[int, int], float] = {}
+        self._arrivals: dict[int, list[tuple[float, bool]]] = {}
+        # When each router first received an answer that reports a limit.
+        self._reported_at: dict[tuple[int, int], float] = {}
         self._requests = 0
         self._served = 0
         self._limited = max(round(settings.limited * settings.upstreams), 1)
 
-    def get_place(self, number: int) -> str:
+    def get_data_centre(self, number: int) -> str:
         """Return the data centre of a router or an upstream."""
         return DATA_CENTRES[number % len(DATA_CENTRES)]
 
     def send(self, router: int, other: int, message: object) -> None:
-        """Have a message arrive a moment later, or not at all."""
+        """Deliver a message after a delay, or lose it."""
         self.messages += 1
-        near = self.get_place(router) == self.get_place(other)
-        begin, end = self.settings.cut
-        cut = begin <= self.clock.monotonic() < end and not near
-        if cut or self.source.random() < self.settings.loss:
+        is_local = self.get_data_centre(router) == self.get_data_centre(other)
+        begin, end = self.settings.partition
+        partitioned = begin <= self.clock.monotonic() < end and not is_local
+        if partitioned or self.source.random() < self.settings.loss:
             return
         data = write_message(message)
-        delay = NEAR_SECONDS if near else FAR_SECONDS
-        self.plan(delay, lambda: self.takers[other](data))
+        delay = LOCAL_DELAY_SECONDS if is_local else REMOTE_DELAY_SECONDS
+        self.schedule(delay, lambda: self.handlers[other](data))
 
-    def plan(self, delay: float, act: object) -> None:
-        """Have something done a moment later."""
+    def schedule(self, delay: float, action: object) -> None:
+        """Run an action after a delay."""
         at = self.clock.monotonic() + delay
-        heapq.heappush(self._due, (at, next(self._numbers), act))
+        heapq.heappush(self._due, (at, next(self._numbers), action))
 
-    def get_named(self, upstream: int) -> float | None:
-        """Return the limit that an upstream names now."""
-        begin, end = self.settings.named
+    def get_reported_rate(self, upstream: int) -> float | None:
+        """Return the limit that an upstream reports now."""
+        begin, end = self.settings.reporting
         now = self.clock.monotonic()
-        named = upstream < self._limited and begin <= now < end
-        return self.settings.rate if named else None
+        is_reporting = upstream < self._limited and begin <= now < end
+        return self.settings.rate if is_reporting else None
 
     async def run(self) -> Outcome:
-        """Play, and return what came of it."""
+        """Run the simulation and return its outcome."""
         design = self._design(self)
-        began = time.process_time()
+        started_at = time.process_time()
         requests = set()
-        await self._pass()
+        await self._run_tasks()
         while self.clock.monotonic() < self.settings.seconds:
             expected = self.settings.per_second * STEP_SECONDS
             for _ in range(self._draw(expected)):
@@ -361,15 +365,15 @@
                 requests.add(task)
                 task.add_done_callback(requests.discard)
             await self._step()
-        spent = time.process_time() - began
+        cpu_seconds = time.process_time() - started_at
         while requests:
-            # Questions that are under way are answered or given up.
+            # Queries in flight are answered or time out.
             await self._step()
         await design.close()
-        return self._judge(spent)
+        return self._summarize(cpu_seconds)
 
     async def pass_time(self, seconds: float) -> None:
-        """Let time pass without a request."""
+        """Advance the clock without sending requests."""
         for _ in range(round(seconds / STEP_SECONDS)):
             await self._step()
 
@@ -380,14 +384,14 @@
     async def _step(self) -> None:
         end = self.clock.monotonic() + STEP_SECONDS
         while self._due and self._due[0][0] < end:
-            at, _, act = heapq.heappop(self._due)
+            at, _, action = heapq.heappop(self._due)
             self.clock.advance(max(at - self.clock.monotonic(), 0.0))
-            act()
-            await self._pass()
+            action()
+            await self._run_tasks()
         self.clock.advance(max(end - self.clock.monotonic(), 0.0))
-        await self._pass()
+        await self._run_tasks()
 
-    async def _pass(self) -> None:
+    async def _run_tasks(self) -> None:
         for _ in range(6):
             await asyncio.sleep(0)
 
@@ -399,40 +403,42 @@
         free = [n for n in order if not design.is_limited(router, n)]
         for upstream in order:
             if await design.may_send(router, upstream, bool(free)):
-                self._arrive(design, router, upstream)
+                self._accept(design, router, upstream)
                 return
 
-    def _arrive(self, design: LimitDesign, router: int, upstream: int) -> None:
+    def _accept(self, design: LimitDesign, router: int, upstream: int) -> None:
         self._served += 1
         now = self.clock.monotonic()
-        told = self._told.get((router, upstream), float('inf'))
-        counts = now >= told + TOLD_SECONDS
-        self._arrived.setdefault(upstream, []).append((now, counts))
-        self.plan(
+        reported_at = self._reported_at.get((router, upstream), float('inf'))
+        is_counted = now >= reported_at + REACTION_SECONDS
+        self._arrivals.setdefault(upstream, []).append((now, is_counted))
+        self.schedule(
             ANSWER_SECONDS * self.source.uniform(0.5, 2.0),
-            lambda: self._answer(design, router, upstream, now),
+            lambda: self._deliver_answer(design, router, upstream, now),
         )
 
-    def _answer(
+    def _deliver_answer(
         self, design: LimitDesign, router: int, upstream: int, sent_at: float
     ) -> None:
-        rate = self.get_named(upstream)
+        rate = self.get_reported_rate(upstream)
         if rate is not None:
             now = self.clock.monotonic()
-            self._told.setdefault((router, upstream), now)
+            self._reported_at.setdefault((router, upstream), now)
         design.note_answer(router, upstream, rate, sent_at)
 
-    def _judge(self, spent: float) -> Outcome:
+    def _summarize(self, cpu_seconds: float) -> Outcome:
         settings = self.settings
-        begin, end = settings.named
+        begin, end = settings.reporting
         end = min(end, settings.seconds)
         allowed = ALLOWED_SHARE * settings.rate * WINDOW_SECONDS
         allowed += ALLOWED_SLACK
         outcome = Outcome()
         used = 0
         for upstream in range(self._limited):
-            arrived = self._arrived.get(upstream, [])
-            times = [at for at, counts in arrived if counts and at < end]
+            arrivals = self._arrivals.get(upstream, [])
+            times = [
+                at for at, is_counted in arrivals if is_counted and at < end
+            ]
             fullest = max(
                 (
                     sum(first <= at < first + WINDOW_SECONDS for at in times)
@@ -441,23 +447,23 @@
                 default=0,
             )
             outcome.peak = max(outcome.peak, fullest / allowed)
-            used += sum(begin + 2 <= at < end for at, _ in arrived)
-            for at, _ in arrived:
+            used += sum(begin + 2 <= at < end for at, _ in arrivals)
+            for at, _ in arrivals:
                 outcome.by_second[int(at)] += 1
         most = settings.rate * (end - begin - 2) * self._limited
         outcome.used = used / most if most else 0.0
         outcome.served = self._served / max(self._requests, 1)
         outcome.messages = self.messages / settings.seconds
-        outcome.microseconds = spent / max(self._requests, 1) * 1e6
+        outcome.microseconds = cpu_seconds / max(self._requests, 1) * 1e6
         return outcome
 
 
 def simulate_limits(
     settings: LimitScenario, design: type[LimitDesign] = Permits
 ) -> Outcome:
-    """Play one load."""
+    """Simulate one load."""
 
-    async def play() -> Outcome:
+    async def run() -> Outcome:
         return await LimitSimulation(settings, design).run()
 
-    return asyncio.run(play())
+    return asyncio.run(run())
