--- a/tests/nocover/test_limit_soak.py
+++ b/tests/nocover/test_limit_soak.py
@@ -10,17 +10,18 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Soak: limits that upstreams name, over routers that die and are paused.
+"""Soak: reported limits are enforced while routers crash and are paused.
 
-Five upstreams name limits from none to ten a second, change them and take
-them back, and end and start again, before four router processes that are
-killed, started and paused, and a store that does not answer writes at times.
-Judged by what callers and upstreams saw: from three seconds after an upstream
-began to name limits, and half a second after it named another, no four
-seconds hold more than one and a half times the limit, and five, from routers
-that were not paused lately, whether they had passed such an answer on or not.
+Five upstreams report limits from zero to ten per second, change and withdraw
+them, and restart, behind four router processes that are killed, started and
+paused, and a store that at times does not answer writes. The check uses what
+callers and upstreams observed: from three seconds after an upstream began to
+report limits, and half a second after it reported another one, no window of
+four seconds may hold more than one and a half times the limit plus five
+requests from routers that were not paused recently, whether or not they had
+received an answer with the limit.
 
-More seeds by hand; the exit code is 1 if a rule was broken::
+To run more seeds; the exit code is 1 if a rule was broken::
 
     python -m tests.nocover.test_limit_soak --seeds 20
 """
@@ -29,19 +30,19 @@
 import unittest
 
 from tests.support.limit_soak import LimitOutcome
-from tests.support.limit_soak import play
+from tests.support.limit_soak import run_seed
 from tests.support.router_play import play_by_hand
 
 SEEDS = (1, 2)
 
 
-def tell_figures(outcome: LimitOutcome) -> str:
-    """Return one line on a play."""
+def format_outcome(outcome: LimitOutcome) -> str:
+    """Return a one-line summary of an outcome."""
     return (
         f'seed {outcome.seed}: {outcome.calls} calls, {outcome.served} served,'
         f' {outcome.refused} refused, {outcome.unanswered} without an answer,'
-        f' {outcome.windows} windows, the fullest {outcome.fullest:.2f} of'
-        f' what is allowed {outcome.faults or ""}'
+        f' {outcome.windows} windows, the fullest {outcome.peak:.2f} of'
+        f' the allowed requests {outcome.faults or ""}'
     )
 
 
@@ -49,11 +50,11 @@
     async def test_no_window_holds_more_than_limits_allow(self):
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                outcome = await play(seed)
-                self.assertEqual(outcome.faults, [], tell_figures(outcome))
+                outcome = await run_seed(seed)
+                self.assertEqual(outcome.faults, [], format_outcome(outcome))
                 self.assertGreater(outcome.windows, 0)
                 self.assertGreater(outcome.served, 0)
 
 
 if __name__ == '__main__':
-    sys.exit(play_by_hand(play, tell_figures))
+    sys.exit(play_by_hand(run_seed, format_outcome))
--- a/tests/nocover/test_limits_command.py
+++ b/tests/nocover/test_limits_command.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Tests of the command that lists the limits that upstreams have named."""
+"""Tests of the command that lists the limits reported by upstreams."""
 
 import asyncio
 import contextlib
--- a/tests/nocover/test_upstream_limits.py
+++ b/tests/nocover/test_upstream_limits.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Tests that all routers together keep the limits that upstreams name."""
+"""Tests that routers together enforce the limits that upstreams report."""
 
 import contextlib
 import unittest
@@ -21,14 +21,14 @@
 from tests.support.fleet import run_fleet
 from tests.support.fleet import wait_until
 from tests.support.fleet_upstream import Behaviour
-from tests.support.limited_fleet import count_fullest
-from tests.support.limited_fleet import find_allowed
+from tests.support.limited_fleet import compute_allowance
+from tests.support.limited_fleet import count_peak_arrivals
 from tests.support.limited_fleet import get_now
+from tests.support.limited_fleet import REACTION_SECONDS
 from tests.support.limited_fleet import run_limited_fleet
-from tests.support.limited_fleet import TOLD_SECONDS
 
 RATES = (1.2, 0.4)
-# Routers that reach each other are in touch within this.
+# Routers that can reach each other exchange limits within this time.
 CONTACT_SECONDS = 3.0
 
 
@@ -39,15 +39,17 @@
             limits = dict(zip(fleet.list_busiest(), RATES, strict=False))
             for name, rate in limits.items():
                 fleet.upstreams[name].limit = str(rate)
-            named_at = get_now()
+            reported_at = get_now()
             answers = await fleet.load(320, 40.0)
         self.assertEqual({answer.status for answer in answers}, {200})
         for name, rate in limits.items():
             times = fleet.upstreams[name].arrived_at
-            fullest = count_fullest(times, named_at + CONTACT_SECONDS)
-            self.assertLessEqual(fullest, find_allowed(rate), name)
-            late = count_fullest(times, named_at + TOLD_SECONDS + 0.5)
-            self.assertLessEqual(late, find_allowed(rate), name)
+            peak = count_peak_arrivals(times, reported_at + CONTACT_SECONDS)
+            self.assertLessEqual(peak, compute_allowance(rate), name)
+            late_peak = count_peak_arrivals(
+                times, reported_at + REACTION_SECONDS + 0.5
+            )
+            self.assertLessEqual(late_peak, compute_allowance(rate), name)
 
 
 class TestWhereNothingElseIsLeft(unittest.IsolatedAsyncioTestCase):
@@ -92,7 +94,7 @@
             await fleet.load(6, 40.0)
             script = fleet.upstreams[full].script
             script.extend([Behaviour.DECLINE] * 100)
-            # The sound one looks slow, so that it is nobody's first choice.
+            # The sound upstream appears slow, so it is never the first choice.
             router = fleet.routers[0]
             router.directory.get(sound).first_byte_seconds = 5.0
             router.directory.get(limited).first_byte_seconds = 1.0
@@ -208,7 +210,7 @@
             fleet.upstreams[name].limit = '0.7'
             await fleet.load(9, 40.0)
             router = fleet.make_router('front-new')
-            # How long it waits is tested with a clock that is passed in.
+            # The timeout itself is tested with a manual clock elsewhere.
             with mock.patch.object(replicator, 'SYNC_TIMEOUT_SECONDS', 60.0):
                 await router.start()
                 try:
--- a/tests/support/limit_soak.py
+++ b/tests/support/limit_soak.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Plays limits that come, change and end, before routers that die."""
+"""Soak of limits that appear, change and end, while routers crash."""
 
 from collections.abc import Coroutine
 import dataclasses
@@ -20,8 +20,8 @@
 import time
 
 from tests.support.crashing_upstream import CrashingUpstream
-from tests.support.limited_fleet import find_allowed
-from tests.support.limited_fleet import TOLD_SECONDS
+from tests.support.limited_fleet import compute_allowance
+from tests.support.limited_fleet import REACTION_SECONDS
 from tests.support.limited_fleet import WINDOW_SECONDS
 from tests.support.router_play import play_seed
 from tests.support.router_play import RouterPlay
@@ -36,15 +36,15 @@
 CALL_PAUSE_SECONDS = 0.15
 PLAY_SECONDS = 16.0
 RATES = (0.0, 0.3, 1.2, 4.0, 10.0)
-# From when all that are in touch may be held to a limit.
+# How soon all connected routers must enforce a limit.
 CONTACT_SECONDS = 3.0
-# After a limit has changed, what was sent under the one before may arrive.
-CHANGED_SECONDS = 0.5
+# After a limit has changed, requests sent under the previous one may arrive.
+CHANGE_GRACE_SECONDS = 0.5
 
 
 @dataclasses.dataclass(frozen=True)
-class Naming:
-    """Since when an upstream names what; None for no limit."""
+class ReportedRate:
+    """A rate that an upstream reports from a time on; None for no limit."""
 
     at: float
     rate: float | None
@@ -52,7 +52,11 @@
 
 @dataclasses.dataclass
 class LimitOutcome:
-    """What callers and upstreams saw."""
+    """What callers and upstreams observed.
+
+    :ivar peak: requests in the fullest window, as a fraction of the allowed
+        number.
+    """
 
     seed: int
     calls: int = 0
@@ -60,30 +64,30 @@
     refused: int = 0
     unanswered: int = 0
     windows: int = 0
-    fullest: float = 0.0
+    peak: float = 0.0
     faults: list[str] = dataclasses.field(default_factory=list)
 
 
 class LimitedUpstream(CrashingUpstream):
-    """Names limits.
+    """Upstream that reports limits.
 
-    :ivar namings: what it named, the newest last.
+    :ivar reported_rates: the rates that it reported, the newest last.
     """
 
     def __init__(self, instance, store, source: random.Random) -> None:
         super().__init__(
             instance, store, source.uniform(0.3, 0.8), source.uniform(0, 0.1)
         )
-        self.namings = [Naming(time.monotonic(), None)]
+        self.reported_rates = [ReportedRate(time.monotonic(), None)]
 
-    def name(self, rate: float | None) -> None:
-        """Name another limit from now on."""
+    def report(self, rate: float | None) -> None:
+        """Report another limit from now on."""
         self.limit = None if rate is None else str(rate)
-        self.namings.append(Naming(time.monotonic(), rate))
+        self.reported_rates.append(ReportedRate(time.monotonic(), rate))
 
 
-class LimitPlay(RouterPlay[LimitOutcome, LimitedUpstream]):
-    """Plays one seed."""
+class LimitSoak(RouterPlay[LimitOutcome, LimitedUpstream]):
+    """Runs one seed."""
 
     seconds = PLAY_SECONDS
     router_count = ROUTERS
@@ -91,21 +95,21 @@
 
     def __init__(self, seed: int, folder: pathlib.Path) -> None:
         super().__init__(seed, folder)
-        # Which life of a router each request was sent to.
-        self._lives: dict[str, str] = {}
-        # When each life was last paused or went on.
-        self._disturbed: dict[str, float] = {}
+        # The process instance of the router that each request was sent to.
+        self._lives_by_request: dict[str, str] = {}
+        # When each process instance was last paused or resumed.
+        self._disturbed_at: dict[str, float] = {}
         self._outcome = LimitOutcome(seed)
 
     def make_upstream(self, name: str) -> LimitedUpstream:
-        """Return an upstream that names limits."""
+        """Return an upstream that reports limits."""
         return LimitedUpstream(name, self._store, self._get_source(name))
 
     def list_work(self) -> list[Coroutine[None, None, None]]:
-        """Return what callers do, and what is disturbed."""
+        """Return the tasks of callers and of fault injection."""
         return [
             *(self._call(number) for number in range(CALLERS)),
-            *(self._name_limits(upstream) for upstream in self._upstreams),
+            *(self._vary_limits(upstream) for upstream in self._upstreams),
             self._disturb_routers(),
             self._restart_upstreams(),
         ]
@@ -116,7 +120,7 @@
         while not self._done.is_set():
             router = source.choice(self._routers)
             name = f'{source.getrandbits(64):x}'
-            self._lives[name] = router.life.name
+            self._lives_by_request[name] = router.life.name
             answer = await call_router(SoakCall(router.address, name))
             outcome.calls += 1
             if answer is None:
@@ -126,14 +130,14 @@
                 outcome.refused += answer.status == 503
             await rest(self._done, source.uniform(0, 2 * CALL_PAUSE_SECONDS))
 
-    async def _name_limits(self, upstream: LimitedUpstream) -> None:
+    async def _vary_limits(self, upstream: LimitedUpstream) -> None:
         source = self._get_source(f'limits {upstream.instance}')
         while not self._done.is_set():
             await rest(self._done, source.uniform(0.0, 9.0))
             for _ in range(source.choice((1, 1, 2))):
-                upstream.name(source.choice(RATES))
+                upstream.report(source.choice(RATES))
                 await rest(self._done, source.uniform(3.0, 9.0))
-            upstream.name(None)
+            upstream.report(None)
 
     async def _disturb_routers(self) -> None:
         source = self._get_source('disturbances')
@@ -152,71 +156,73 @@
             await router.start()
 
     def _note_disturbed(self, router: SoakRouter) -> None:
-        self._disturbed[router.life.name] = time.monotonic()
+        self._disturbed_at[router.life.name] = time.monotonic()
 
     async def _restart_upstreams(self) -> None:
         source = self._get_source('upstreams')
         while not self._done.is_set():
             await rest(self._done, source.uniform(4.0, 8.0))
             upstream = source.choice(self._upstreams)
-            # The new start names nothing until it is in need itself.
-            upstream.name(None)
+            # The new start reports no limit until it is overloaded itself.
+            upstream.report(None)
             upstream.begin_crash()
 
     def judge(self) -> LimitOutcome:
-        """Compare what each upstream got with what it named."""
+        """Compare the arrivals at each upstream with its limits."""
         for upstream in self._upstreams:
-            self._judge(upstream)
+            self._check_upstream(upstream)
         return self._outcome
 
-    def _judge(self, upstream: LimitedUpstream) -> None:
-        """Compare each window with the highest limit that it touches."""
+    def _check_upstream(self, upstream: LimitedUpstream) -> None:
+        """Compare the windows of each reported limit with what it allows."""
         times = zip(upstream.arrivals, upstream.arrived_at, strict=True)
         arrivals = [
             at
             for head, at in times
-            if self._counts(head.get_header('request-id'), at)
+            if self._is_undisturbed(head.get_header('request-id'), at)
         ]
-        ends = [naming.at for naming in upstream.namings[1:]]
+        ends = [reported.at for reported in upstream.reported_rates[1:]]
         ends.append(float('inf'))
         begin = None
-        for naming, end in zip(upstream.namings, ends, strict=True):
-            if naming.rate is None:
+        for reported, end in zip(upstream.reported_rates, ends, strict=True):
+            if reported.rate is None:
                 begin = None
                 continue
-            begin = naming.at if begin is None else begin
-            first = max(begin + CONTACT_SECONDS, naming.at + CHANGED_SECONDS)
-            self._judge_naming(upstream, naming, (first, end), arrivals)
+            begin = reported.at if begin is None else begin
+            first = max(
+                begin + CONTACT_SECONDS, reported.at + CHANGE_GRACE_SECONDS
+            )
+            self._check_period(upstream, reported, (first, end), arrivals)
 
-    def _judge_naming(
+    def _check_period(
         self,
         upstream: LimitedUpstream,
-        naming: Naming,
+        reported: ReportedRate,
         period: tuple[float, float],
         arrivals: list[float],
     ) -> None:
         begin, end = period
         counted = [at for at in arrivals if begin <= at < end]
-        assert naming.rate is not None, 'only limits are judged'
-        allowed = find_allowed(naming.rate)
+        assert reported.rate is not None, 'only limits are checked'
+        allowed = compute_allowance(reported.rate)
         for first in counted:
             held = sum(first <= at < first + WINDOW_SECONDS for at in counted)
             self._outcome.windows += 1
-            self._outcome.fullest = max(self._outcome.fullest, held / allowed)
+            self._outcome.peak = max(self._outcome.peak, held / allowed)
             if held > allowed:
                 self._outcome.faults.append(
                     f'{upstream.instance} got {held} in a window that begins'
-                    f' {first - naming.at:.2f} s after it named'
-                    f' {naming.rate}; {allowed:.1f} are allowed'
+                    f' {first - reported.at:.2f} s after it reported'
+                    f' {reported.rate}; {allowed:.1f} are allowed'
                 )
 
-    def _counts(self, request_id: str, at: float) -> bool:
-        """Return whether the router that sent a request was not disturbed."""
-        life = self._lives.get(request_id, '')
-        disturbed = self._disturbed.get(life, float('-inf'))
-        return at - disturbed > TOLD_SECONDS + CONTACT_SECONDS
+    def _is_undisturbed(self, request_id: str, at: float) -> bool:
+        """Return whether the sending router was not disturbed recently."""
+        life = self._lives_by_request.get(request_id, '')
+        disturbed_at = self._disturbed_at.get(life, float('-inf'))
+        return at - disturbed_at > REACTION_SECONDS + CONTACT_SECONDS
 
 
-async def play(seed: int) -> LimitOutcome:
-    """Play one seed."""
-    return await play_seed(LimitPlay, seed)
+async def run_seed(seed: int) -> LimitOutcome:
+    """Run one seed."""
+    return await play_seed(LimitSoak, seed)
--- a/tests/support/limited_fleet.py
+++ b/tests/support/limited_fleet.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Several routers in two data centres before upstreams that name limits."""
+"""Runs routers in two data centres before upstreams that report limits."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -32,17 +32,17 @@
 
 DATA_CENTRES = ('a', 'b')
 WINDOW_SECONDS = 4.0
-# What the users' page allows in a window: one and a half times what the limit
-# comes to, and this many requests.
+# What the user documentation allows in a window: one and a half times the
+# requests that the limit permits, plus this number of requests.
 ALLOWED_SHARE = 1.5
 ALLOWED_SLACK = 5.0
-# A router that passed such an answer on is bound this much later.
-TOLD_SECONDS = 0.5
+# A router that received an answer with a limit must enforce it this soon.
+REACTION_SECONDS = 0.5
 
 
 @dataclasses.dataclass
 class LimitedFleet:
-    """Routers, and the upstreams that name limits."""
+    """Routers, and upstreams that report limits."""
 
     store: FleetStoreStandin
     store_address: Address
@@ -50,13 +50,13 @@
     upstreams: dict[str, FleetUpstreamStandin]
 
     def make_router(self, vm: str) -> FleetRouterProcess:
-        """Return a router more, which has not begun yet."""
+        """Return another router, which is not started yet."""
         return make_router(
             self.store_address, PROMISES, vm, data_centre=DATA_CENTRES[0]
         )
 
     def view(self, number: int) -> Fleet:
-        """Return the fleet as callers of one router see it."""
+        """Return a fleet of which only one router is called."""
         router = self.routers[number % len(self.routers)]
         return Fleet(self.store, router, self.upstreams, ShiftedClock())
 
@@ -82,8 +82,8 @@
         return await asyncio.gather(*calls)
 
 
-def count_fullest(times: list[float], begin: float) -> int:
-    """Return the most arrivals in a window that begins at or after a time."""
+def count_peak_arrivals(times: list[float], begin: float) -> int:
+    """Return the arrivals in the fullest window from a time on."""
     counted = [at for at in times if at >= begin]
     return max(
         (
@@ -94,13 +94,13 @@
     )
 
 
-def find_allowed(rate: float) -> float:
-    """Return the requests that a window may hold at a limit."""
+def compute_allowance(rate: float) -> float:
+    """Return the number of requests that a limit allows in a window."""
     return ALLOWED_SHARE * rate * WINDOW_SECONDS + ALLOWED_SLACK
 
 
 def get_now() -> float:
-    """Return the time that arrivals are noted by."""
+    """Return the current time of the clock that stamps arrivals."""
     return time.monotonic()
 
 
@@ -134,7 +134,7 @@
         zone = DATA_CENTRES[number % len(DATA_CENTRES)]
         fleet.view(0).list_upstream('plain', upstream, zone=zone)
     store.put('op', 'config', CONFIGURATION)
-    # What a router runs beside serving is ended with it.
+    # Background tasks of a router end with its stop().
     for router in fleet.routers:
         await router.start()
     for router in fleet.routers:
