--- a/src/lifttrestle/internal/fleet/path/candidates.py
+++ b/src/lifttrestle/internal/fleet/path/candidates.py
@@ -104,7 +104,7 @@
         )
         if repeated and unlimited:
             return unlimited
-        return [item for item in fit if not limits.is_closed(item, self.rank)]
+        return [item for item in fit if not limits.is_refused(item, self.rank)]
 
     def find_permit_seconds(self, service: str) -> float | None:
         """Return the seconds until a limited upstream may permit a request.
@@ -117,7 +117,7 @@
             limits.is_limited(item) for item in remaining
         ):
             return None
-        return min(limits.get_wait(item) for item in remaining)
+        return min(limits.get_retry_delay(item) for item in remaining)
 
     def list_fit(
         self, admitted: AdmittedRequest, service: str
--- a/src/lifttrestle/internal/fleet/path/decision_log.py
+++ b/src/lifttrestle/internal/fleet/path/decision_log.py
@@ -21,7 +21,7 @@
 import math
 
 from lifttrestle.internal.clock.clock import Clock
-from lifttrestle.internal.fleet.limits.permits import Permit
+from lifttrestle.internal.fleet.limits.permits import PermitDecision
 from lifttrestle.internal.fleet.path.dialect import RequestFacts
 from lifttrestle.internal.fleet.path.dialect import UpstreamOrder
 from lifttrestle.internal.fleet.policy.admission import AdmittedRequest
@@ -117,7 +117,7 @@
 
 
 def build_permit_fields(
-    upstream: FleetUpstream, permit: Permit, rank: int
+    upstream: FleetUpstream, permit: PermitDecision, rank: int
 ) -> dict[str, object]:
     """Return the log fields of a permit requested for a limited upstream.
 
--- a/src/lifttrestle/internal/fleet/path/upstream_search.py
+++ b/src/lifttrestle/internal/fleet/path/upstream_search.py
@@ -79,7 +79,7 @@
     limits = request.parts.limits
     if not limits.is_limited(upstream):
         return True
-    permit = await limits.ask(upstream, candidates.rank)
+    permit = await limits.request_permit(upstream, candidates.rank)
     request.decision_log.add(
         'permit',
         **build_permit_fields(upstream, permit, candidates.rank),
--- a/tests/nocover/test_limits_command.py
+++ b/tests/nocover/test_limits_command.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Tests of the command that lists the limits that upstreams have named."""
+"""Tests of the command that lists the limits reported by upstreams."""
 
 import asyncio
 import contextlib
@@ -21,7 +21,7 @@
 
 from lifttrestle.internal.cli.main import main
 from lifttrestle.internal.clock.manual import ManualClock
-from lifttrestle.internal.fleet.limits.held_limit import HeldLimit
+from lifttrestle.internal.fleet.limits.limit_state import LimitState
 from lifttrestle.internal.fleet.path.handlers import MetricsHandler
 from lifttrestle.internal.fleet.policy.limit_belief import LimitObservation
 from lifttrestle.internal.fleet.policy.limit_permits import PermitBucket
@@ -37,13 +37,13 @@
     def setUp(self):
         clock = ManualClock(START)
         clock.advance(20.0)
-        given = HeldLimit('p1@17', 1, 'a')
+        given = LimitState('p1@17', 1, 'a')
         given.belief.update(LimitObservation(1.2, 10.0, 17.5))
         given.bucket = PermitBucket(1.2, 1.0, 0.0)
         given.bucket.take(0, 5.0)
-        other = HeldLimit('p2@17', 2, 'b')
+        other = LimitState('p2@17', 2, 'b')
         other.belief.update(LimitObservation(0.4, 10.0, 19.0))
-        ended = HeldLimit('p3@17', 3, 'b', recovering=True)
+        ended = LimitState('p3@17', 3, 'b', recovering=True)
         ended.belief.ended_at = 18.0
         self.limits = [ended, other, given]
         door = MetricsHandler(FleetMetrics(), self.limits, clock)
