--- a/benchmarks/crashes.py
+++ b/benchmarks/crashes.py
@@ -24,8 +24,8 @@
 from lifttrestle.internal.fleet.path.request_digest import build_request_digest
 from lifttrestle.internal.fleet.policy.admission import AdmittedRequest
 from lifttrestle.internal.fleet.state.catalogue import Workspace
-from lifttrestle.internal.fleet.state.load_messages import read_message
-from lifttrestle.internal.fleet.state.load_messages import write_message
+from lifttrestle.internal.fleet.state.load_messages import decode_message
+from lifttrestle.internal.fleet.state.load_messages import encode_message
 from lifttrestle.internal.http.head import RequestHead
 from tests.support.crash_fleet import CrashFleet
 
@@ -54,12 +54,12 @@
     """Return the microseconds that a router takes to hear of one request."""
     memory = CrashFleet(routers).trackers[0]
     data = [
-        write_message(CrashUpdate('r1', [CrashItem(DIGEST + number, [1, 2])]))
+        encode_message(CrashUpdate('r1', [CrashItem(DIGEST + number, [1, 2])]))
         for number in range(ROUNDS)
     ]
     began = time.perf_counter()
     for item in data:
-        memory.handle_update(read_message(item))  # type: ignore[arg-type]
+        memory.handle_update(decode_message(item))  # type: ignore[arg-type]
     return (time.perf_counter() - began) / ROUNDS * MICROSECONDS
 
 
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -30,11 +30,11 @@
 from lifttrestle.internal.fleet.policy.placement import choose_engine
 from lifttrestle.internal.fleet.state.directory import UpstreamDirectory
 from lifttrestle.internal.fleet.state.load_aggregation import LoadAggregator
+from lifttrestle.internal.fleet.state.load_messages import decode_message
+from lifttrestle.internal.fleet.state.load_messages import encode_message
 from lifttrestle.internal.fleet.state.load_messages import GroupSum
 from lifttrestle.internal.fleet.state.load_messages import LoadReport
-from lifttrestle.internal.fleet.state.load_messages import read_message
 from lifttrestle.internal.fleet.state.load_messages import UpstreamLoad
-from lifttrestle.internal.fleet.state.load_messages import write_message
 from lifttrestle.internal.fleet.state.peer_loads import PeerLoads
 from lifttrestle.internal.fleet.state.roster import Roster
 from lifttrestle.internal.fleet.state.roster import RouterRow
@@ -118,16 +118,18 @@
                 for digest in source.sample(digests, BUSY_ENGINES)
             ]
             report = LoadReport(f'r{number}', 1, loads, [], True, True)
-            self.questions.append(write_message(report))
+            self.questions.append(encode_message(report))
         loads = [UpstreamLoad(digest, 3, 2700) for digest in digests]
         for number in range(GROUPS):
-            self.aggregator.take_group(GroupSum(f'g{number}', 1, loads), 0.0)
+            self.aggregator.handle_group_sum(
+                GroupSum(f'g{number}', 1, loads), 0.0
+            )
 
     def answer(self, number: int) -> None:
         """Answer a question of one of them."""
-        report = read_message(self.questions[number % len(self.questions)])
-        self.aggregator.take_report(report, 0.0)
-        write_message(self.aggregator.build_fleet_sum(report.vm, 0.0))
+        report = decode_message(self.questions[number % len(self.questions)])
+        self.aggregator.handle_report(report, 0.0)
+        encode_message(self.aggregator.build_fleet_sum(report.vm, 0.0))
 
 
 def measure(act: object, rounds: int = ROUNDS) -> float:
--- a/src/lifttrestle/internal/fleet/process.py
+++ b/src/lifttrestle/internal/fleet/process.py
@@ -224,13 +224,15 @@
             refusals,
             self._usage,
         )
-        self._peer_loads.hear(CrashUpdate, self.crashes.handle_update)
+        self._peer_loads.add_handler(CrashUpdate, self.crashes.handle_update)
         self.crashes.replicator.send = self._peer_loads.send
         self.limits.connect(
-            self._peer_loads.hear, self._peer_loads.send, metrics.count_permit
+            self._peer_loads.add_handler,
+            self._peer_loads.send,
+            metrics.count_permit,
         )
         self._parts.note_load_change = self._peer_loads.note_change
-        self._parts.learn_loads = self._peer_loads.learn
+        self._parts.learn_loads = self._peer_loads.refresh
         watches = [
             self._operator_watch,
             self._upstreams_watch,
--- a/src/lifttrestle/internal/fleet/state/aggregator_choice.py
+++ b/src/lifttrestle/internal/fleet/state/aggregator_choice.py
@@ -63,12 +63,12 @@
             return False
         return now - self._open_since > SILENT_SECONDS
 
-    def note_asked(self) -> None:
+    def note_query(self) -> None:
         """Note a question to the chosen router."""
         if self._open_since is None:
             self._open_since = self._clock.monotonic()
 
-    def note_heard(self, key: str) -> bool:
+    def note_answer(self, key: str) -> bool:
         """Note a sum; return whether it is that of the chosen router."""
         if key != self._chosen:
             return False
@@ -85,12 +85,12 @@
         self._look_again()
         return self._neighbours
 
-    def count_elsewhere(self) -> dict[str, int]:
+    def count_remote_routers(self) -> dict[str, int]:
         """Return how many routers each other data centre has."""
         self._look_again()
         return self._elsewhere
 
-    def list_all(self) -> list[str]:
+    def list_candidates(self) -> list[str]:
         """Return those that are likely to add up in any data centre."""
         self._look_again()
         return self._all
--- a/src/lifttrestle/internal/fleet/state/fresh_sum.py
+++ b/src/lifttrestle/internal/fleet/state/fresh_sum.py
@@ -53,7 +53,7 @@
         """Return whether a teller is held."""
         return vm in self._heard
 
-    def take(self, message: LoadReport | GroupSum, now: float) -> bool:
+    def update(self, message: LoadReport | GroupSum, now: float) -> bool:
         """Keep a message unless it is older than what is kept; tell if so.
 
         After a restart a router counts anew; its last message is stale then.
@@ -75,7 +75,7 @@
         for vm in stale:
             self._add(self._heard.pop(vm).message.loads, -1)
 
-    def list_tellers(self, now: float) -> list[str]:
+    def list_senders(self, now: float) -> list[str]:
         """Return those whose message is fresh."""
         self.expire(now)
         return list(self._heard)
--- a/src/lifttrestle/internal/fleet/state/load_aggregation.py
+++ b/src/lifttrestle/internal/fleet/state/load_aggregation.py
@@ -31,18 +31,18 @@
 from lifttrestle.internal.fleet.usage.messages import UsedEntry
 
 # Parts that are told on in one message.
-MAX_NEWS = 200
+MAX_MESSAGE_PARTS = 200
 # Parts that are kept for those that ask later: of some two seconds after new
 # weights, when a fleet of 195 routers has 1,000 a second read.
-KEPT_NEWS = 2000
+MAX_LOGGED_PARTS = 2000
 
 
-class NewsLog:
+class PartLog:
     """The newest of what is told on, for hearers that ask now and then."""
 
     def __init__(self) -> None:
         self._items: collections.deque[int] = collections.deque(
-            maxlen=KEPT_NEWS
+            maxlen=MAX_LOGGED_PARTS
         )
         self._end = 0
 
@@ -57,7 +57,9 @@
         begin = min(max(place, first), self._end)
         items = list(
             itertools.islice(
-                self._items, begin - first, begin - first + MAX_NEWS
+                self._items,
+                begin - first,
+                begin - first + MAX_MESSAGE_PARTS,
             )
         )
         return items, begin + len(items)
@@ -77,26 +79,26 @@
         self._number = 0
         self._members = FreshSum(get_fresh_seconds)
         self._groups = FreshSum(get_fresh_seconds)
-        self._group_news = NewsLog()
-        self._fleet_news = NewsLog()
+        self._group_news = PartLog()
+        self._fleet_news = PartLog()
         # How far the other groups, and each member, have been told.
         self._group_told = 0
         self._member_told: dict[str, int] = {}
 
-    def take_report(self, report: LoadReport, now: float) -> None:
+    def handle_report(self, report: LoadReport, now: float) -> None:
         """Take in the report of a member, unless a newer one overtook it."""
-        if self._members.take(report, now):
+        if self._members.update(report, now):
             self._group_news.add(report.parts)
             self._fleet_news.add(report.parts)
 
-    def take_group(self, group: GroupSum, now: float) -> None:
+    def handle_group_sum(self, group: GroupSum, now: float) -> None:
         """Take in the sum of another group."""
-        if self._groups.take(group, now):
+        if self._groups.update(group, now):
             self._fleet_news.add(group.parts)
 
     def list_members(self, now: float) -> list[str]:
         """Return the routers that have told their loads."""
-        members = self._members.list_tellers(now)
+        members = self._members.list_senders(now)
         if len(self._member_told) > len(members):
             self._member_told = {
                 vm: place
@@ -107,7 +109,7 @@
 
     def list_aggregators(self, now: float) -> list[str]:
         """Return the other routers that have told their groups' sums."""
-        return self._groups.list_tellers(now)
+        return self._groups.list_senders(now)
 
     def build_group_sum(
         self, now: float, usage: list[UsedEntry] | None = None
@@ -126,7 +128,9 @@
         self._number += 1
         self._members.expire(now)
         self._groups.expire(now)
-        loads = add_up([self._members.list_loads(), self._groups.list_loads()])
+        loads = sum_loads(
+            [self._members.list_loads(), self._groups.list_loads()]
+        )
         parts, self._member_told[vm] = self._fleet_news.list_since(
             self._member_told.get(vm, 0)
         )
@@ -134,7 +138,7 @@
         return FleetSum(self._vm, self._number, included, loads, parts, levels)
 
 
-def add_up(
+def sum_loads(
     several: Iterable[list[UpstreamLoad]],
 ) -> list[UpstreamLoad]:
     """Return the sum of loads; what comes to nothing is left out."""
@@ -151,7 +155,7 @@
     ]
 
 
-def take_off(
+def subtract_loads(
     whole: list[UpstreamLoad], part: list[UpstreamLoad]
 ) -> list[UpstreamLoad]:
     """Return ``whole`` without ``part``, which may have changed since."""
--- a/src/lifttrestle/internal/fleet/state/load_ledger.py
+++ b/src/lifttrestle/internal/fleet/state/load_ledger.py
@@ -50,7 +50,7 @@
         self._counted: dict[str, list[UpstreamLoad]] = {}
         self._summed_at = float('-inf')
 
-    def believe(
+    def update(
         self, teller: str, number: int, loads: list[UpstreamLoad]
     ) -> None:
         """Take in what was told, unless something newer overtook it."""
@@ -62,15 +62,15 @@
                 return
         self._told[teller] = Told(number, loads, now)
         if now - self._summed_at >= REPORT_SECONDS:
-            self.sum_up()
+            self.rebuild()
         else:
             self._replace(teller, loads)
 
-    def forget(self, teller: str) -> None:
+    def reset(self, teller: str) -> None:
         """Believe the next thing that a teller says, whatever its number."""
         self._told.pop(teller, None)
 
-    def sum_up(self) -> None:
+    def rebuild(self) -> None:
         """Add up all that counts, and forget the rest."""
         self._summed_at = self._clock.monotonic()
         latest = self._summed_at - self._get_fresh_seconds()
--- a/src/lifttrestle/internal/fleet/state/load_messages.py
+++ b/src/lifttrestle/internal/fleet/state/load_messages.py
@@ -57,8 +57,8 @@
     number: int
     loads: list[UpstreamLoad]
     parts: list[int] = []
-    summed: bool = False
-    asks: bool = False
+    for_aggregator: bool = False
+    is_query: bool = False
     usage: list[UsedEntry] | None = None
 
 
@@ -94,7 +94,7 @@
 LoadMessage = LoadReport | GroupSum | FleetSum | CrashUpdate | LimitMessage
 
 
-def read_message(data: bytes) -> LoadMessage:
+def decode_message(data: bytes) -> LoadMessage:
     """Return the message of a datagram.
 
     :raises InputRefused: if it holds none.
@@ -102,6 +102,6 @@
     return decode_msgpack(data, LoadMessage)  # type: ignore[arg-type]
 
 
-def write_message(message: LoadMessage) -> bytes:
+def encode_message(message: LoadMessage) -> bytes:
     """Return the datagram of a message."""
     return msgspec.msgpack.encode(message)
--- a/src/lifttrestle/internal/fleet/state/peer_datagrams.py
+++ b/src/lifttrestle/internal/fleet/state/peer_datagrams.py
@@ -15,10 +15,10 @@
 import asyncio
 from collections.abc import Callable
 
+from lifttrestle.internal.fleet.state.load_messages import decode_message
+from lifttrestle.internal.fleet.state.load_messages import encode_message
 from lifttrestle.internal.fleet.state.load_messages import LoadMessage
 from lifttrestle.internal.fleet.state.load_messages import MAX_DATAGRAM_BYTES
-from lifttrestle.internal.fleet.state.load_messages import read_message
-from lifttrestle.internal.fleet.state.load_messages import write_message
 from lifttrestle.internal.fleet.state.roster import Roster
 from lifttrestle.internal.http.address import Address
 from lifttrestle.internal.http.address import check_address
@@ -39,7 +39,7 @@
         self._transport: asyncio.DatagramTransport | None = None
         self._takers: dict[type, Callable[..., None]] = {}
 
-    def hear(self, kind: type, take: Callable[..., None]) -> None:
+    def add_handler(self, kind: type, take: Callable[..., None]) -> None:
         """Have another part of the router take one kind of message."""
         self._takers[kind] = take
 
@@ -61,7 +61,7 @@
     def datagram_received(self, data: bytes, address: object) -> None:
         """Take in a message; what is none is dropped."""
         try:
-            message = read_message(data)
+            message = decode_message(data)
         except ValueError as error:
             self._refusals.note('loads', str(address), error)
             return
@@ -74,7 +74,7 @@
         text = self._roster.get_address(key)
         if self._transport is None or not text:
             return
-        data = write_message(message)
+        data = encode_message(message)
         if len(data) > MAX_DATAGRAM_BYTES:
             LOG.warning('peers.message_too_long', bytes=len(data))
             return
--- a/src/lifttrestle/internal/fleet/state/peer_loads.py
+++ b/src/lifttrestle/internal/fleet/state/peer_loads.py
@@ -32,7 +32,7 @@
 from lifttrestle.internal.fleet.state.catalogue import Workspace
 from lifttrestle.internal.fleet.state.directory import UpstreamDirectory
 from lifttrestle.internal.fleet.state.load_aggregation import LoadAggregator
-from lifttrestle.internal.fleet.state.load_aggregation import take_off
+from lifttrestle.internal.fleet.state.load_aggregation import subtract_loads
 from lifttrestle.internal.fleet.state.load_ledger import LoadLedger
 from lifttrestle.internal.fleet.state.load_messages import FleetSum
 from lifttrestle.internal.fleet.state.load_messages import GroupSum
@@ -53,7 +53,7 @@
 # What is told counts for at least this long, and for three regular reports:
 # one that is lost must not make a busy upstream look idle.
 FRESH_SECONDS = 1.0
-FRESH_TELLS = 3
+FRESH_REPORTS = 3
 # Between two sums of a data centre that are told to the others. With 195
 # routers before 59 engines at 0.9 of what they can read 0.985 of the callers
 # are in time with a sum every 0.05 s and 0.996 with this, at 4,100 and 4,950
@@ -111,25 +111,25 @@
         self._usage_telling = UsagePublisher(vm, self._usage, clock)
         self._usage_roles = UsageRoles(self._usage, roster, self._choice)
         self._asked_for_sums = asyncio.Event()
-        self.hear(LoadReport, self._take_report)
-        self.hear(GroupSum, self._take_group_sum)
-        self.hear(FleetSum, self._take_fleet_sum)
+        self.add_handler(LoadReport, self._take_report)
+        self.add_handler(GroupSum, self._take_group_sum)
+        self.add_handler(FleetSum, self._take_fleet_sum)
 
     def note_change(self) -> None:
         """Tell the others soon: a load has changed by a lot."""
         self._changed.set()
 
     def _take_report(self, report: LoadReport) -> None:
-        if not report.summed:
-            self.note(report)
+        if not report.for_aggregator:
+            self.apply_report(report)
             return
         self._parts.note_told(report.parts, self._clock.monotonic())
-        self._aggregator.take_report(report, self._clock.monotonic())
+        self._aggregator.handle_report(report, self._clock.monotonic())
         self._usage_telling.handle_member_report(
             report.vm, f'{ROUTER_PREFIX}{report.vm}', report.usage
         )
         self._asked_for_sums.set()
-        if report.asks:
+        if report.is_query:
             self._answer(report.vm)
 
     def _answer(self, vm: str) -> None:
@@ -145,7 +145,7 @@
             self.send(whole, f'{ROUTER_PREFIX}{vm}')
 
     def _take_group_sum(self, group: GroupSum) -> None:
-        self._aggregator.take_group(group, self._clock.monotonic())
+        self._aggregator.handle_group_sum(group, self._clock.monotonic())
         data_centre = self._roster.get_data_centre(
             f'{ROUTER_PREFIX}{group.vm}'
         )
@@ -155,37 +155,37 @@
         """Believe the sum of the router that this one tells its loads."""
         now = self._clock.monotonic()
         self._parts.note_told(whole.parts, now)
-        if self._choice.note_heard(f'{ROUTER_PREFIX}{whole.vm}'):
+        if self._choice.note_answer(f'{ROUTER_PREFIX}{whole.vm}'):
             own = self._own_reports.get(whole.included, [])
-            rest = take_off(whole.loads, own)
+            rest = subtract_loads(whole.loads, own)
             if whole.vm != self._summed_by:
                 # Each counts its sums by itself.
-                self._ledger.forget(FLEET)
+                self._ledger.reset(FLEET)
                 self._summed_by = whole.vm
-            self._ledger.believe(FLEET, whole.number, rest)
+            self._ledger.update(FLEET, whole.number, rest)
             self._usage_telling.handle_answer(whole.levels)
             self._heard_at = now
             self._answered.set()
 
-    def note(self, report: LoadReport) -> None:
+    def apply_report(self, report: LoadReport) -> None:
         """Believe a router's report, unless a newer one overtook it."""
         self._parts.note_told(report.parts, self._clock.monotonic())
-        self._ledger.believe(report.vm, report.number, report.loads)
+        self._ledger.update(report.vm, report.number, report.loads)
         self._usage_telling.handle_report(
             report.vm, f'{ROUTER_PREFIX}{report.vm}', report.usage
         )
 
-    def get_tell_seconds(self) -> float:
+    def get_report_seconds(self) -> float:
         """Return the time between two regular reports of this router."""
-        return self._pacing.get_regular_seconds(self._count_tellers())
+        return self._pacing.get_regular_seconds(self._count_reporters())
 
     def _get_regular_seconds(self) -> float:
         """Return the time until the next report if no load changes a lot."""
         if uses_aggregation(self._roster.live) and not self._told_something:
             return IDLE_SECONDS if self._usage.in_use else IDLE_TELL_SECONDS
-        return self.get_tell_seconds()
+        return self.get_report_seconds()
 
-    def _count_tellers(self) -> int:
+    def _count_reporters(self) -> int:
         """Return how many routers tell their loads to the same one."""
         live = self._roster.live
         return (
@@ -193,7 +193,7 @@
         )
 
     def _get_fresh_seconds(self) -> float:
-        return max(FRESH_SECONDS, FRESH_TELLS * self.get_tell_seconds())
+        return max(FRESH_SECONDS, FRESH_REPORTS * self.get_report_seconds())
 
     async def run(self) -> None:
         """Tell the others, and add up for those that ask, for ever."""
@@ -206,24 +206,24 @@
                 async with asyncio.timeout(self._get_regular_seconds()):
                     await self._changed.wait()
             except TimeoutError:
-                self._ledger.sum_up()
+                self._ledger.rebuild()
                 self._usage_telling.drop_inactive()
                 regular = True
-            pause = self._pacing.take(self._count_tellers())
+            pause = self._pacing.take(self._count_reporters())
             if pause:
                 await self._clock.sleep(pause)
             self._changed.clear()
             # A regular question finds out whether the other one lives.
-            self._tell(asks=regular)
+            self._send_report(is_query=regular)
 
     async def _run_summing(self) -> None:
         while True:
             await self._asked_for_sums.wait()
             self._asked_for_sums.clear()
-            while self.tell_sums():
+            while self.send_sums():
                 await self._clock.sleep(SUM_SECONDS)
 
-    def tell_sums(self) -> bool:
+    def send_sums(self) -> bool:
         """Tell this group's sum to the others; return if there is one."""
         now = self._clock.monotonic()
         if not self._aggregator.list_members(now):
@@ -235,7 +235,7 @@
             f'{ROUTER_PREFIX}{vm}'
             for vm in self._aggregator.list_aggregators(now)
         }
-        others.update(self._choice.list_all())
+        others.update(self._choice.list_candidates())
         others.discard(self._roster.key)
         for key in others:
             self.send(group, key)
@@ -247,16 +247,16 @@
             return True
         return self._clock.monotonic() - self._heard_at < CURRENT_SECONDS
 
-    def ask(self) -> None:
+    def request_sum(self) -> None:
         """Ask for the sum, unless that is under way or was done too often."""
         now = self._clock.monotonic()
         under_way = now - self._asked_at < ANSWER_SECONDS
         if under_way and self._heard_at < self._asked_at:
             return
-        if self._asking.try_take(self._count_tellers()):
-            self._tell(asks=True)
+        if self._asking.try_take(self._count_reporters()):
+            self._send_report(is_query=True)
 
-    async def learn(self, workspace: Workspace | None = None) -> None:
+    async def refresh(self, workspace: Workspace | None = None) -> None:
         """Wait a moment for the newest loads, if they are to be asked for.
 
         :param workspace: whose use of its cap is to be known, too.
@@ -271,7 +271,7 @@
         known = workspace is None or self._usage.is_level_fresh(workspace)
         if known and self.is_current():
             return
-        self.ask()
+        self.request_sum()
         if self._heard_at >= self._asked_at:
             # It adds up itself, or it has asked too often.
             return
@@ -283,7 +283,7 @@
             # not answer at all is told of when another one is chosen.
             LOG.debug('peers.no_sum')
 
-    def _tell(self, *, asks: bool = False) -> None:
+    def _send_report(self, *, is_query: bool = False) -> None:
         loads = [
             UpstreamLoad(
                 upstream.digest, upstream.in_flight, upstream.unread_tokens
@@ -294,7 +294,7 @@
         parts = self._parts.take_news()
         self._usage_roles.update(self._choice.choose())
         if uses_aggregation(self._roster.live):
-            self._tell_aggregator(loads, parts, asks=asks)
+            self._tell_aggregator(loads, parts, is_query=is_query)
             return
         idle = not loads and not parts and not self._told_something
         if idle and not self._usage_telling.is_due():
@@ -313,7 +313,7 @@
             self.send(report, key)
 
     def _tell_aggregator(
-        self, loads: list[UpstreamLoad], parts: list[int], *, asks: bool
+        self, loads: list[UpstreamLoad], parts: list[int], *, is_query: bool
     ) -> None:
         """Tell the router that adds up, which answers if it is asked."""
         self._number += 1
@@ -323,17 +323,17 @@
             loads,
             parts,
             True,
-            asks,
+            is_query,
             self._usage_telling.build_report(),
         )
         self._told_something = bool(loads)
         self._own_reports[self._number] = loads
         self._own_reports.pop(self._number - REMEMBERED_REPORTS, None)
         key = self._choice.choose()
-        if asks:
+        if is_query:
             self._asked_at = self._clock.monotonic()
             self._answered.clear()
-            self._choice.note_asked()
+            self._choice.note_query()
         if key == self._roster.key:
             self._take_report(report)
         else:
--- a/src/lifttrestle/internal/fleet/usage/roles.py
+++ b/src/lifttrestle/internal/fleet/usage/roles.py
@@ -56,5 +56,5 @@
             return dict.fromkeys(self._roster.list_others(), 1)
         groups = dict.fromkeys(self._choice.list_neighbours(), 1)
         groups.pop(self._roster.key, None)
-        groups.update(self._choice.count_elsewhere())
+        groups.update(self._choice.count_remote_routers())
         return groups
--- a/tests/cover/test_crash_memory.py
+++ b/tests/cover/test_crash_memory.py
@@ -24,8 +24,8 @@
 from lifttrestle.internal.fleet.crashes.replicator import MAX_ITEMS
 from lifttrestle.internal.fleet.crashes.replicator import OWNER_COUNT
 from lifttrestle.internal.fleet.crashes.replicator import SEND_COUNT
+from lifttrestle.internal.fleet.state.load_messages import encode_message
 from lifttrestle.internal.fleet.state.load_messages import MAX_DATAGRAM_BYTES
-from lifttrestle.internal.fleet.state.load_messages import write_message
 from lifttrestle.internal.fleet.state.roster import FLEET_TABLE
 from lifttrestle.internal.fleet.state.rows import VersionedRow
 from tests.support.crash_fleet import CrashFleet
@@ -104,7 +104,7 @@
         starts = list(range(2**32 - 64, 2**32))
         item = CrashItem(2**64 - 1, starts[:8], starts[8:16], True)
         update = CrashUpdate('front-bkk-lakkrabang-12', [item] * MAX_ITEMS)
-        self.assertLess(len(write_message(update)), MAX_DATAGRAM_BYTES)
+        self.assertLess(len(encode_message(update)), MAX_DATAGRAM_BYTES)
 
 
 class TestRows(unittest.TestCase):
--- a/tests/cover/test_limit_memory.py
+++ b/tests/cover/test_limit_memory.py
@@ -21,7 +21,7 @@
 from lifttrestle.internal.fleet.limits.messages import LimitItem
 from lifttrestle.internal.fleet.limits.messages import LimitNews
 from lifttrestle.internal.fleet.policy.limit_belief import ReportedLimit
-from lifttrestle.internal.fleet.state.load_messages import read_message
+from lifttrestle.internal.fleet.state.load_messages import decode_message
 from lifttrestle.internal.fleet.state.rows import VersionedRow
 from tests.support.entries import make_entry
 from tests.support.played_limits import LimitPlay
@@ -193,7 +193,7 @@
         for rate in (-1.0, float('nan'), float('inf')):
             news = LimitNews('r1', [LimitItem(1, rate, 0.0, 0.0)])
             with self.assertRaises(ValueError):
-                read_message(msgspec.msgpack.encode(news))
+                decode_message(msgspec.msgpack.encode(news))
 
     async def test_start_asks_others_before_it_is_ready(self):
         self.answer(3, 1.0)
--- a/tests/cover/test_load_sums.py
+++ b/tests/cover/test_load_sums.py
@@ -33,11 +33,11 @@
 from lifttrestle.internal.fleet.state.catalogue import Workspace
 from lifttrestle.internal.fleet.state.directory import UpstreamDirectory
 from lifttrestle.internal.fleet.state.fresh_sum import FreshSum
-from lifttrestle.internal.fleet.state.load_aggregation import add_up
-from lifttrestle.internal.fleet.state.load_aggregation import KEPT_NEWS
-from lifttrestle.internal.fleet.state.load_aggregation import MAX_NEWS
-from lifttrestle.internal.fleet.state.load_aggregation import NewsLog
-from lifttrestle.internal.fleet.state.load_aggregation import take_off
+from lifttrestle.internal.fleet.state.load_aggregation import MAX_LOGGED_PARTS
+from lifttrestle.internal.fleet.state.load_aggregation import MAX_MESSAGE_PARTS
+from lifttrestle.internal.fleet.state.load_aggregation import PartLog
+from lifttrestle.internal.fleet.state.load_aggregation import subtract_loads
+from lifttrestle.internal.fleet.state.load_aggregation import sum_loads
 from lifttrestle.internal.fleet.state.load_messages import LoadReport
 from lifttrestle.internal.fleet.state.load_messages import UpstreamLoad
 from lifttrestle.internal.fleet.state.peer_loads import CURRENT_SECONDS
@@ -136,13 +136,13 @@
             if name not in self.down
         ]
         for loads in living:
-            loads._tell()
+            loads._send_report()
         for _ in range(2):
             self.clock.advance(TURN_SECONDS)
             for loads in living:
-                loads.tell_sums()
+                loads.send_sums()
         for loads in living:
-            loads._tell(asks=True)
+            loads._send_report(is_query=True)
 
     def get_seen(self, name, engine='e1'):
         """Return what a router takes to be under way there, its own too."""
@@ -298,7 +298,7 @@
         fleet.turn()
         fleet.heard.clear()
         fleet.turn()
-        tell_seconds = fleet.routers['r0'].loads.get_tell_seconds()
+        tell_seconds = fleet.routers['r0'].loads.get_report_seconds()
         neighbours = 195 / len(DATA_CENTRES)
         self.assertLessEqual(neighbours / tell_seconds, MAX_REPORT_RATE)
         usual = sorted(fleet.heard.values())[len(fleet.heard) // 2]
@@ -311,10 +311,10 @@
         router = fleet.routers['r0']
         first = router.loads._choice.choose()
         fleet.down = {first.removeprefix('router/')}
-        router.loads._tell(asks=True)
+        router.loads._send_report(is_query=True)
         fleet.clock.advance(SILENT_SECONDS + 0.01)
         self.assertNotEqual(router.loads._choice.choose(), first)
-        regular = router.loads.get_tell_seconds()
+        regular = router.loads.get_report_seconds()
         self.assertLess(regular + SILENT_SECONDS, FRESH_SECONDS)
 
     def test_sum_of_another_router_replaces_one_with_a_higher_number(self):
@@ -326,11 +326,11 @@
         self.assertNotEqual(first, 'router/r0')
         fleet.down = {first.removeprefix('router/')}
         for name in ('r9', 'r0'):
-            fleet.routers[name].loads._tell(asks=True)
+            fleet.routers[name].loads._send_report(is_query=True)
         fleet.clock.advance(SILENT_SECONDS + 0.01)
         self.add_load('r9', 3, 500)
         for name in ('r9', 'r0'):
-            fleet.routers[name].loads._tell(asks=True)
+            fleet.routers[name].loads._send_report(is_query=True)
         self.assertEqual(fleet.get_seen('r0'), (3, 500))
 
 
@@ -345,7 +345,7 @@
     def test_nobody_is_told_who_does_not_ask(self):
         self.fleet.heard.clear()
         for router in self.fleet.routers.values():
-            router.loads.tell_sums()
+            router.loads.send_sums()
         adding = {
             router.loads._choice.choose().removeprefix('router/')
             for router in self.fleet.routers.values()
@@ -358,7 +358,7 @@
     def list_likely(self):
         return {
             key.removeprefix('router/')
-            for key in self.loads._choice.list_all()
+            for key in self.loads._choice.list_candidates()
         }
 
     def test_answer_holds_what_was_told_a_moment_ago(self):
@@ -367,9 +367,9 @@
         upstream = other.directory.get('e1')
         upstream.in_flight = 1
         upstream.note_sent(1, 0.0, unread=9000)
-        other.loads._tell()
+        other.loads._send_report()
         self.assertFalse(self.loads.is_current())
-        self.loads.ask()
+        self.loads.request_sum()
         self.assertTrue(self.loads.is_current())
         self.assertEqual(self.fleet.get_seen('r0'), (1, 9000))
 
@@ -377,32 +377,32 @@
         self.fleet.clock.advance(PAST_SECONDS)
         self.fleet.down = {self.loads._choice.choose().removeprefix('router/')}
         sent = self.loads._transport.sendto = mock.Mock()
-        self.loads.ask()
-        self.loads.ask()
+        self.loads.request_sum()
+        self.loads.request_sum()
         sent.assert_called_once()
 
     def test_many_choices_ask_no_more_than_they_may(self):
         sent = self.loads._transport.sendto = mock.Mock()
         for _ in range(500):
             self.fleet.clock.advance(PAST_SECONDS)
-            self.loads.ask()
-        neighbours = self.loads._count_tellers()
+            self.loads.request_sum()
+        neighbours = self.loads._count_reporters()
         seconds = 500 * PAST_SECONDS
         allowed = seconds * MAX_QUERY_RATE / neighbours + BURST
         self.assertLessEqual(sent.call_count, allowed)
         self.assertGreater(sent.call_count, 0.9 * allowed)
 
     def test_parts_are_told_to_each_that_asks_once(self):
-        log = NewsLog()
-        log.add(list(range(MAX_NEWS + 5)))
+        log = PartLog()
+        log.add(list(range(MAX_MESSAGE_PARTS + 5)))
         first, place = log.list_since(0)
         rest, place = log.list_since(place)
-        self.assertEqual([*first, *rest], list(range(MAX_NEWS + 5)))
+        self.assertEqual([*first, *rest], list(range(MAX_MESSAGE_PARTS + 5)))
         self.assertEqual(log.list_since(place), ([], place))
 
     def test_parts_that_are_kept_no_more_are_passed_over(self):
-        log = NewsLog()
-        log.add(list(range(KEPT_NEWS + 7)))
+        log = PartLog()
+        log.add(list(range(MAX_LOGGED_PARTS + 7)))
         first, _ = log.list_since(0)
         self.assertEqual(first[0], 7)
 
@@ -414,7 +414,7 @@
         fleet.clock.advance(PAST_SECONDS)
         loads = fleet.routers['r0'].loads
         fleet.down = {loads._choice.choose().removeprefix('router/')}
-        await loads.learn()
+        await loads.refresh()
         self.assertFalse(loads.is_current())
 
 
@@ -423,7 +423,7 @@
         fleet = Fleet(MAX_DIRECT_ROUTERS)
         upstream = fleet.routers['r0'].directory.get('e1')
         upstream.in_flight = 2
-        fleet.routers['r0'].loads._tell()
+        fleet.routers['r0'].loads._send_report()
         for name in fleet.routers:
             self.assertEqual(fleet.get_seen(name), (2, 0))
 
@@ -448,14 +448,14 @@
             now += pause
             known = last.get(vm)
             overtaken = known is not None and known[0] > number
-            taken = total.take(LoadReport(vm, number, loads), now)
+            taken = total.update(LoadReport(vm, number, loads), now)
             self.assertEqual(taken, not overtaken or now - known[2] >= 1.0)
             if taken:
                 last[vm] = (number, loads, now)
         total.expire(now)
         fresh = {vm for vm, (_, _, at) in last.items() if at >= now - 1.0}
-        self.assertEqual(set(total.list_tellers(now)), fresh)
-        expected = add_up(last[vm][1] for vm in fresh)
+        self.assertEqual(set(total.list_senders(now)), fresh)
+        expected = sum_loads(last[vm][1] for vm in fresh)
         self.assertEqual(
             sorted(total.list_loads(), key=lambda load: load.digest),
             sorted(expected, key=lambda load: load.digest),
@@ -465,7 +465,7 @@
         total = FreshSum(lambda: 1.0)
         for digest in range(100):
             load = UpstreamLoad(digest, 1, 10)
-            total.take(LoadReport('r1', digest, [load]), 0.0)
+            total.update(LoadReport('r1', digest, [load]), 0.0)
         self.assertEqual(len(total._running), 1)
         total.expire(2.0)
         self.assertEqual((len(total), len(total._running)), (0, 0))
@@ -474,8 +474,8 @@
 class TestArithmetic(unittest.TestCase):
     @given(st.lists(LOADS, max_size=4), LOADS)
     def test_taking_off_one_of_a_sum_leaves_the_others(self, others, own):
-        rest = take_off(add_up([*others, own]), own)
-        expected = {load.digest: load for load in add_up(others)}
+        rest = subtract_loads(sum_loads([*others, own]), own)
+        expected = {load.digest: load for load in sum_loads(others)}
         for load in rest:
             left = expected.get(load.digest, UpstreamLoad(load.digest, 0, 0))
             self.assertEqual(load, left)
--- a/tests/cover/test_peer_loads.py
+++ b/tests/cover/test_peer_loads.py
@@ -27,8 +27,8 @@
 from lifttrestle.internal.fleet.state.directory import UpstreamDirectory
 from lifttrestle.internal.fleet.state.load_messages import LoadReport
 from lifttrestle.internal.fleet.state.load_messages import UpstreamLoad
+from lifttrestle.internal.fleet.state.peer_loads import FRESH_REPORTS
 from lifttrestle.internal.fleet.state.peer_loads import FRESH_SECONDS
-from lifttrestle.internal.fleet.state.peer_loads import FRESH_TELLS
 from lifttrestle.internal.fleet.state.peer_loads import PeerLoads
 from lifttrestle.internal.fleet.state.roster import Roster
 from lifttrestle.internal.fleet.state.roster import RouterRow
@@ -78,43 +78,45 @@
         self.router = Router('me')
 
     def test_reports_of_all_routers_are_summed(self):
-        self.router.loads.note(make_report('a', 1, 2, 100))
-        self.router.loads.note(make_report('b', 1, 3, 50))
+        self.router.loads.apply_report(make_report('a', 1, 2, 100))
+        self.router.loads.apply_report(make_report('b', 1, 3, 50))
         self.assertEqual(self.router.get_peers(), (5, 150))
 
     def test_reports_that_come_one_after_the_other_are_summed_as_at_once(self):
         for number in range(1, 6):
             for vm in 'abc':
-                self.router.loads.note(make_report(vm, number, number, 10))
+                self.router.loads.apply_report(
+                    make_report(vm, number, number, 10)
+                )
                 self.router.clock.advance(0.04)
         self.assertEqual(self.router.get_peers(), (15, 30))
-        self.router.loads._ledger.sum_up()
+        self.router.loads._ledger.rebuild()
         self.assertEqual(self.router.get_peers(), (15, 30))
 
     def test_upstream_that_came_in_between_has_no_load_below_zero(self):
-        self.router.loads.note(make_report('a', 1, 4))
+        self.router.loads.apply_report(make_report('a', 1, 4))
         self.router.directory.take(VersionedRow('u', None, 2))
         value = msgspec.json.encode(make_entry(address='1.2.3.4:9'))
         self.router.directory.take(VersionedRow('u', value, 3))
         upstream = self.router.directory.get('u')
-        self.router.loads.note(make_report('a', 2, 1))
+        self.router.loads.apply_report(make_report('a', 2, 1))
         self.assertGreaterEqual(upstream.peers_in_flight, 0)
 
     def test_newer_report_replaces_and_overtaken_one_is_dropped(self):
         for number, in_flight in ((1, 2), (3, 7), (2, 9)):
-            self.router.loads.note(make_report('a', number, in_flight))
+            self.router.loads.apply_report(make_report('a', number, in_flight))
         self.assertEqual(self.router.get_peers()[0], 7)
 
     def test_router_that_fell_silent_holds_nothing_busy(self):
-        self.router.loads.note(make_report('a', 1, 2))
+        self.router.loads.apply_report(make_report('a', 1, 2))
         self.router.clock.advance(FRESH_SECONDS + 0.1)
-        self.router.loads.note(make_report('b', 1, 3))
+        self.router.loads.apply_report(make_report('b', 1, 3))
         self.assertEqual(self.router.get_peers()[0], 3)
 
     def test_restarted_router_is_believed_again(self):
-        self.router.loads.note(make_report('a', 900, 2))
+        self.router.loads.apply_report(make_report('a', 900, 2))
         self.router.clock.advance(FRESH_SECONDS + 0.1)
-        self.router.loads.note(make_report('a', 1, 4))
+        self.router.loads.apply_report(make_report('a', 1, 4))
         self.assertEqual(self.router.get_peers()[0], 4)
 
     def test_regression_many_routers_hear_no_more_than_few(self):
@@ -124,25 +126,25 @@
         for count in (8, 30, 69, 350):
             for number in range(count):
                 self.router.meet(f'r{number}', '10.0.0.1:7400')
-            told = 1 / self.router.loads.get_tell_seconds()
+            told = 1 / self.router.loads.get_report_seconds()
             self.assertLessEqual(count * told, MAX_REPORT_RATE + 1e-6)
-        self.assertLess(1 / told, FRESH_SECONDS * FRESH_TELLS)
+        self.assertLess(1 / told, FRESH_SECONDS * FRESH_REPORTS)
 
     def test_report_of_a_large_fleet_counts_until_the_third_next(self):
         self.router.roster.loaded = True
         for number in range(2 * MAX_REPORT_RATE):
             self.router.meet(f'r{number}', '10.0.0.1:7400')
-        self.assertEqual(self.router.loads.get_tell_seconds(), 2.0)
-        self.router.loads.note(make_report('a', 1, 2))
+        self.assertEqual(self.router.loads.get_report_seconds(), 2.0)
+        self.router.loads.apply_report(make_report('a', 1, 2))
         self.router.clock.advance(5.9)
-        self.router.loads.note(make_report('b', 1, 3))
+        self.router.loads.apply_report(make_report('b', 1, 3))
         self.assertEqual(self.router.get_peers()[0], 5)
         self.router.clock.advance(0.2)
-        self.router.loads.note(make_report('b', 2, 3))
+        self.router.loads.apply_report(make_report('b', 2, 3))
         self.assertEqual(self.router.get_peers()[0], 3)
 
     def test_garbage_is_dropped_and_told(self):
-        self.router.loads.note(make_report('a', 1, 2))
+        self.router.loads.apply_report(make_report('a', 1, 2))
         for data in (b'', b'\xc1', b'not a report', b'\x93\x01\x02\x03'):
             with self.assertLogs('lifttrestle.intake', 'ERROR'):
                 self.router.loads.datagram_received(data, ('1.2.3.4', 5))
@@ -155,7 +157,7 @@
         parts = (PromptPart('aa', 400),)
         teller.parts.note_read('salt', parts, 0.0)
         news = teller.parts.take_news()
-        hearer.loads.note(LoadReport('a', 1, [], news))
+        hearer.loads.apply_report(LoadReport('a', 1, [], news))
         self.assertEqual(hearer.parts.count_unknown('salt', parts), 0)
         self.assertEqual(hearer.parts.count_unknown('other', parts), 400)
         # What was told goes no further, and is told once.
@@ -183,7 +185,7 @@
         teller, hearer = routers
         for in_flight in (4, 0):
             teller.upstream.in_flight = in_flight
-            teller.loads._tell()
+            teller.loads._send_report()
             async with asyncio.timeout(WAIT_SECONDS):
                 while hearer.get_peers()[0] != in_flight:
                     await asyncio.sleep(0.005)
--- a/tests/cover/test_suspension.py
+++ b/tests/cover/test_suspension.py
@@ -179,9 +179,9 @@
             await wait_until(lambda: router.directory.get('p1'))
             known = router.directory.get('p1')
             load = UpstreamLoad(known.digest, 5, 0)
-            router._peer_loads.note(LoadReport('other', 1, [load]))
+            router._peer_loads.apply_report(LoadReport('other', 1, [load]))
             machine.suspend(5.0)
-            router._peer_loads._ledger.sum_up()
+            router._peer_loads._ledger.rebuild()
             await upstream.stop()
             return known.peers_in_flight
 
--- a/tests/cover/test_upstream_starts.py
+++ b/tests/cover/test_upstream_starts.py
@@ -124,10 +124,10 @@
         )
         report = LoadReport('r', 1, [UpstreamLoad(old.digest, 4, 900)])
         new = self.list_start(SECOND)
-        loads.note(report)
+        loads.apply_report(report)
         self.assertEqual((new.peers_in_flight, new.peers_unread), (0, 0))
         again = LoadReport('r', 2, [UpstreamLoad(new.digest, 1, 0)])
-        loads.note(again)
+        loads.apply_report(again)
         self.assertEqual(new.peers_in_flight, 1)
 
     def test_plan_tells_of_one_start_only(self):
--- a/tests/support/crash_fleet.py
+++ b/tests/support/crash_fleet.py
@@ -23,8 +23,8 @@
 from lifttrestle.internal.fleet.crashes.tracker import CrashTracker
 from lifttrestle.internal.fleet.crashes.tracker import RequestOrigin
 from lifttrestle.internal.fleet.state.directory import UpstreamDirectory
-from lifttrestle.internal.fleet.state.load_messages import read_message
-from lifttrestle.internal.fleet.state.load_messages import write_message
+from lifttrestle.internal.fleet.state.load_messages import decode_message
+from lifttrestle.internal.fleet.state.load_messages import encode_message
 from lifttrestle.internal.fleet.state.roster import Roster
 from lifttrestle.internal.fleet.state.roster import RouterRow
 from lifttrestle.internal.fleet.state.rows import VersionedRow
@@ -78,13 +78,13 @@
             self.trackers.append(tracker)
 
     def _send(self, update, key) -> None:
-        data = write_message(update)
+        data = encode_message(update)
         self.messages += 1
         self.bytes += len(data)
         if self._source.random() < self._lost_share:
             return
         number = int(key.removeprefix('router/r'))
-        self.trackers[number].handle_update(read_message(data))
+        self.trackers[number].handle_update(decode_message(data))
 
     def crash(self, router: int, upstream: int, digests: list[int]) -> None:
         """Crash an upstream under requests of one router."""
--- a/tests/support/played_limits.py
+++ b/tests/support/played_limits.py
@@ -36,8 +36,8 @@
 from lifttrestle.internal.fleet.policy.limit_belief import ReportedLimit
 from lifttrestle.internal.fleet.policy.limit_permits import rank_request
 from lifttrestle.internal.fleet.state.directory import UpstreamDirectory
-from lifttrestle.internal.fleet.state.load_messages import read_message
-from lifttrestle.internal.fleet.state.load_messages import write_message
+from lifttrestle.internal.fleet.state.load_messages import decode_message
+from lifttrestle.internal.fleet.state.load_messages import encode_message
 from lifttrestle.internal.fleet.state.roster import Roster
 from lifttrestle.internal.fleet.state.roster import RouterRow
 from lifttrestle.internal.fleet.state.rows import VersionedRow
@@ -255,7 +255,7 @@
         takers = {}
 
         def take(data: bytes) -> None:
-            message = read_message(data)
+            message = decode_message(data)
             takers[type(message)](message)
 
         self.play.takers[number] = take
@@ -332,7 +332,7 @@
         cut = begin <= self.clock.monotonic() < end and not near
         if cut or self.source.random() < self.settings.loss:
             return
-        data = write_message(message)
+        data = encode_message(message)
         delay = NEAR_SECONDS if near else FAR_SECONDS
         self.plan(delay, lambda: self.takers[other](data))
 
--- a/tests/support/played_load.py
+++ b/tests/support/played_load.py
@@ -131,7 +131,7 @@
     def find_pause(self) -> float:
         """Return after how long the next report may go out."""
         loads = self.loads
-        return loads._pacing.take(loads._count_tellers())
+        return loads._pacing.take(loads._count_reporters())
 
 
 def get_data_centre(number: int) -> str:
@@ -227,34 +227,34 @@
             choose()
 
     def _tell_regularly(self, router: PlayedRouter) -> None:
-        self._tell(router, asks=True)
+        self._tell(router, is_query=True)
         at = self._clock.monotonic() + router.loads._get_regular_seconds()
         if at < self._load.seconds:
             self._at(at, lambda: self._tell_regularly(router))
 
     def _tell_sums(self, router: PlayedRouter) -> None:
-        router.loads.tell_sums()
+        router.loads.send_sums()
         at = self._clock.monotonic() + SUM_SECONDS
         if at < self._load.seconds:
             self._at(at, lambda: self._tell_sums(router))
 
-    def _tell(self, router: PlayedRouter, *, asks: bool = False) -> None:
+    def _tell(self, router: PlayedRouter, *, is_query: bool = False) -> None:
         """Have a router tell its loads as soon as it may."""
         if router in self._telling:
             return
         self._telling.add(router)
         at = self._clock.monotonic() + router.find_pause()
-        self._at(at, lambda: self._tell_now(router, asks))
+        self._at(at, lambda: self._tell_now(router, is_query))
 
-    def _tell_now(self, router: PlayedRouter, asks: bool) -> None:
+    def _tell_now(self, router: PlayedRouter, is_query: bool) -> None:
         self._telling.discard(router)
-        router.loads._tell(asks=asks)
+        router.loads._send_report(is_query=is_query)
 
     def _arrive(self, first_at: float, is_long: bool) -> None:
         """Take a request; ``first_at`` is when its caller first tried."""
         router = self._source.choice(self._routers)
         if not router.loads.is_current():
-            router.loads.ask()
+            router.loads.request_sum()
         if router.loads.is_current():
             self._place(router, first_at, is_long)
             return
