--- a/tests/cover/test_played_load.py
+++ b/tests/cover/test_played_load.py
@@ -15,9 +15,9 @@
 import dataclasses
 import unittest
 
-from tests.support.played_load import Fate
-from tests.support.played_load import PlayedFleet
-from tests.support.played_load import PlayedLoad
+from tests.support.load_simulation import Fate
+from tests.support.load_simulation import PlayedFleet
+from tests.support.load_simulation import PlayedLoad
 
 SEEDS = range(4)
 # Of what the five engines can read: 47 requests a second.
