--- a/tests/cover/test_load_sums.py
+++ b/tests/cover/test_load_sums.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Tests of sums of loads, which a few routers tell the others."""
+"""Tests of aggregated loads: a few routers send sums to the others."""
 
 import collections
 import unittest
@@ -53,20 +53,20 @@
 from tests.support.entries import make_entry
 from tests.support.memory_rows import MemoryRows
 
-# Longer than sums take; twelve turns are longer than loads are fresh.
-TURN_SECONDS = 0.05
-# After this a sum is not current.
-PAST_SECONDS = 2 * CURRENT_SECONDS
+# Longer than the period of sums; reports expire within twelve rounds.
+ROUND_SECONDS = 0.05
+# A sum of this age is no longer current.
+STALE_SECONDS = 2 * CURRENT_SECONDS
 ENGINES = ('e1', 'e2', 'e3')
 DATA_CENTRES = ('a', 'b', 'c')
-# Its level hardly rises while a test lasts.
+# Its level recovers only slightly during a test.
 WORKSPACE = Workspace(
     'acme', None, False, UsageCap(5.0, 1000.0, UsageUnit.TOKENS)
 )
 CAPS = {WORKSPACE.digest: WORKSPACE.cap}
 PROMISES = Promises()
-# After so many turns a router that adds up has heard of all others.
-SETTLED_TURNS = 8
+# Rounds until an aggregator has received the usage of all others.
+SYNC_ROUNDS = 8
 LOADS = st.lists(
     st.builds(
         UpstreamLoad,
@@ -79,13 +79,17 @@
 
 
 class Fleet:
-    """Routers that tell each other over a network of one mapping."""
+    """Routers that exchange datagrams in memory.
+
+    :ivar down: names of the routers that receive and send nothing.
+    :ivar received: number of datagrams that each router received.
+    """
 
     def __init__(self, count):
         self.clock = ManualClock(START)
         self.routers = {}
         self.down = set()
-        self.heard = collections.Counter()
+        self.received = collections.Counter()
         names = [f'r{number}' for number in range(count)]
         rows = []
         for number, name in enumerate(names):
@@ -118,34 +122,37 @@
             usage=router.usage,
         )
         router.loads._transport = mock.Mock()
-        router.loads._transport.sendto = self.carry
+        router.loads._transport.sendto = self.deliver
         return router
 
-    def carry(self, data, address):
+    def deliver(self, data, address):
         host = address[0].split('.')
         name = f'r{250 * int(host[2]) + int(host[3])}'
         if name not in self.down:
-            self.heard[name] += 1
+            self.received[name] += 1
             self.routers[name].loads.datagram_received(data, None)
 
-    def turn(self):
-        """Let every router tell, those that add up too, and then ask."""
-        living = [
+    def run_round(self):
+        """Let every router report, aggregators send sums, and all query."""
+        live = [
             router.loads
             for name, router in self.routers.items()
             if name not in self.down
         ]
-        for loads in living:
+        for loads in live:
             loads._send_report()
         for _ in range(2):
-            self.clock.advance(TURN_SECONDS)
-            for loads in living:
+            self.clock.advance(ROUND_SECONDS)
+            for loads in live:
                 loads.send_sums()
-        for loads in living:
+        for loads in live:
             loads._send_report(is_query=True)
 
-    def get_seen(self, name, engine='e1'):
-        """Return what a router takes to be under way there, its own too."""
+    def get_known_load(self, name, engine='e1'):
+        """Return the load at an engine as a router sees it.
+
+        :return: requests in flight and unread tokens, including its own.
+        """
         upstream = self.routers[name].directory.get(engine)
         return (
             upstream.in_flight + upstream.peers_in_flight,
@@ -154,27 +161,27 @@
 
 
 class TestUsage(unittest.TestCase):
-    """What workspaces use of their caps is told beside the loads."""
+    """Usage of workspaces is reported together with the loads."""
 
     def make_fleet(self, count):
         fleet = Fleet(count)
-        for _ in range(SETTLED_TURNS):
-            fleet.turn()
+        for _ in range(SYNC_ROUNDS):
+            fleet.run_round()
         return fleet
 
     def use(self, fleet, name, units):
         router = fleet.routers[name]
         for _ in range(2):
             router.usage.request_level(WORKSPACE)
-            fleet.turn()
+            fleet.run_round()
         facts = router.usage.admit(WORKSPACE, units)
         self.assertIsNone(facts.retry_seconds)
 
     def get_left(self, fleet, name):
-        """Return what a router takes to be left when it has asked."""
+        """Return the remaining units that a router knows after a query."""
         fleet.routers[name].usage.request_level(WORKSPACE)
         for _ in range(3):
-            fleet.turn()
+            fleet.run_round()
         level = fleet.routers[name].usage.find_level(WORKSPACE)
         return level.get_left(fleet.clock.monotonic())
 
@@ -201,16 +208,16 @@
         fleet = self.make_fleet(60)
         self.use(fleet, 'r0', 800.0)
         for _ in range(3):
-            fleet.turn()
-        adding = {
+            fleet.run_round()
+        aggregators = {
             name
             for name, router in fleet.routers.items()
             if not router.usage.uses_aggregator
         }
-        fleet.down = adding
+        fleet.down = aggregators
         for _ in range(6):
-            fleet.turn()
-        name = min(set(fleet.routers) - adding - {'r0'})
+            fleet.run_round()
+        name = min(set(fleet.routers) - aggregators - {'r0'})
         self.assertLess(self.get_left(fleet, name), 300.0)
 
 
@@ -229,27 +236,27 @@
         self.add_load('r1', 3, 700)
         self.add_load('r59', 1, 40)
         for _ in range(2):
-            self.fleet.turn()
+            self.fleet.run_round()
         for name in self.fleet.routers:
             with self.subTest(router=name):
-                self.assertEqual(self.fleet.get_seen(name), (6, 5740))
+                self.assertEqual(self.fleet.get_known_load(name), (6, 5740))
 
     def test_own_load_that_ended_is_not_counted_twice(self):
         self.add_load('r0', 4, 900)
         for _ in range(2):
-            self.fleet.turn()
+            self.fleet.run_round()
         self.add_load('r0', 1)
-        self.assertEqual(self.fleet.get_seen('r0'), (1, 0))
+        self.assertEqual(self.fleet.get_known_load('r0'), (1, 0))
 
     def test_load_that_ended_is_forgotten(self):
         self.add_load('r0', 4, 900)
-        self.fleet.turn()
+        self.fleet.run_round()
         upstream = self.fleet.routers['r0'].directory.get('e1')
         upstream.in_flight = 0
         upstream.owed.clear()
         for _ in range(2):
-            self.fleet.turn()
-        self.assertEqual(self.fleet.get_seen('r7'), (0, 0))
+            self.fleet.run_round()
+        self.assertEqual(self.fleet.get_known_load('r7'), (0, 0))
 
     def test_loss_of_those_that_add_up_is_made_up_for(self):
         chosen = {
@@ -263,51 +270,52 @@
             )
             for data_centre in DATA_CENTRES
         }
-        self.fleet.turn()
+        self.fleet.run_round()
         self.fleet.down = {key.removeprefix('router/') for key in chosen}
-        living = sorted(set(self.fleet.routers) - self.fleet.down)
-        self.add_load(living[0], 2, 300)
-        self.add_load(living[1], 1, 20)
+        live = sorted(set(self.fleet.routers) - self.fleet.down)
+        self.add_load(live[0], 2, 300)
+        self.add_load(live[1], 1, 20)
         for _ in range(12):
-            self.fleet.turn()
-        for name in living:
-            self.assertEqual(self.fleet.get_seen(name), (3, 320))
+            self.fleet.run_round()
+        for name in live:
+            self.assertEqual(self.fleet.get_known_load(name), (3, 320))
 
     def test_lost_router_holds_no_engine_busy(self):
         self.add_load('r0', 4, 900)
-        self.fleet.turn()
+        self.fleet.run_round()
         self.fleet.down = {'r0'}
         for _ in range(12):
-            self.fleet.turn()
-        self.assertEqual(self.fleet.get_seen('r8'), (0, 0))
+            self.fleet.run_round()
+        self.assertEqual(self.fleet.get_known_load('r8'), (0, 0))
 
     def test_parts_that_one_router_had_read_are_known_to_all(self):
-        teller = self.fleet.routers['r0']
-        teller.parts._remember(77, 0.0)
-        teller.parts._news.append(77)
+        sender = self.fleet.routers['r0']
+        sender.parts._remember(77, 0.0)
+        sender.parts._news.append(77)
         for _ in range(2):
-            self.fleet.turn()
+            self.fleet.run_round()
         for name, router in self.fleet.routers.items():
             with self.subTest(router=name):
                 self.assertIn(77, router.parts._read_at)
 
     def test_nobody_hears_more_than_in_a_small_fleet(self):
-        # Of 195 routers each heard 250 reports a second; each hears 10 sums,
-        # and one in each data centre what its neighbours tell it.
+        # Without aggregation, each of 195 routers received 250 reports a
+        # second. With it, each receives 10 sums, and the aggregator of each
+        # data centre the reports of its neighbours.
         fleet = Fleet(195)
-        fleet.turn()
-        fleet.heard.clear()
-        fleet.turn()
-        tell_seconds = fleet.routers['r0'].loads.get_report_seconds()
+        fleet.run_round()
+        fleet.received.clear()
+        fleet.run_round()
+        report_seconds = fleet.routers['r0'].loads.get_report_seconds()
         neighbours = 195 / len(DATA_CENTRES)
-        self.assertLessEqual(neighbours / tell_seconds, MAX_REPORT_RATE)
-        usual = sorted(fleet.heard.values())[len(fleet.heard) // 2]
-        self.assertLessEqual(usual, 2)
+        self.assertLessEqual(neighbours / report_seconds, MAX_REPORT_RATE)
+        median = sorted(fleet.received.values())[len(fleet.received) // 2]
+        self.assertLessEqual(median, 2)
 
     def test_silence_of_the_chosen_one_is_noticed_in_time(self):
-        # Each asks with its regular reports at the latest.
+        # Every regular report is a query.
         fleet = self.fleet
-        fleet.turn()
+        fleet.run_round()
         router = fleet.routers['r0']
         first = router.loads._choice.choose()
         fleet.down = {first.removeprefix('router/')}
@@ -320,7 +328,7 @@
     def test_sum_of_another_router_replaces_one_with_a_higher_number(self):
         fleet = self.fleet
         for _ in range(5):
-            fleet.turn()
+            fleet.run_round()
         router = fleet.routers['r0']
         first = router.loads._choice.choose()
         self.assertNotEqual(first, 'router/r0')
@@ -331,38 +339,38 @@
         self.add_load('r9', 3, 500)
         for name in ('r9', 'r0'):
             fleet.routers[name].loads._send_report(is_query=True)
-        self.assertEqual(fleet.get_seen('r0'), (3, 500))
+        self.assertEqual(fleet.get_known_load('r0'), (3, 500))
 
 
 class TestQuestions(unittest.TestCase):
-    """A router asks for the sum when it has to choose."""
+    """A router queries the sum when it has to choose an engine."""
 
     def setUp(self):
         self.fleet = Fleet(60)
-        self.fleet.turn()
+        self.fleet.run_round()
         self.loads = self.fleet.routers['r0'].loads
 
     def test_nobody_is_told_who_does_not_ask(self):
-        self.fleet.heard.clear()
+        self.fleet.received.clear()
         for router in self.fleet.routers.values():
             router.loads.send_sums()
-        adding = {
+        aggregators = {
             router.loads._choice.choose().removeprefix('router/')
             for router in self.fleet.routers.values()
         }
         self.assertLessEqual(
-            set(self.fleet.heard),
-            adding | self.list_likely(),
+            set(self.fleet.received),
+            aggregators | self.list_candidate_names(),
         )
 
-    def list_likely(self):
+    def list_candidate_names(self):
         return {
             key.removeprefix('router/')
             for key in self.loads._choice.list_candidates()
         }
 
     def test_answer_holds_what_was_told_a_moment_ago(self):
-        self.fleet.clock.advance(PAST_SECONDS)
+        self.fleet.clock.advance(STALE_SECONDS)
         other = self.fleet.routers['r3']
         upstream = other.directory.get('e1')
         upstream.in_flight = 1
@@ -371,10 +379,10 @@
         self.assertFalse(self.loads.is_current())
         self.loads.request_sum()
         self.assertTrue(self.loads.is_current())
-        self.assertEqual(self.fleet.get_seen('r0'), (1, 9000))
+        self.assertEqual(self.fleet.get_known_load('r0'), (1, 9000))
 
     def test_one_question_serves_choices_that_come_together(self):
-        self.fleet.clock.advance(PAST_SECONDS)
+        self.fleet.clock.advance(STALE_SECONDS)
         self.fleet.down = {self.loads._choice.choose().removeprefix('router/')}
         sent = self.loads._transport.sendto = mock.Mock()
         self.loads.request_sum()
@@ -384,10 +392,10 @@
     def test_many_choices_ask_no_more_than_they_may(self):
         sent = self.loads._transport.sendto = mock.Mock()
         for _ in range(500):
-            self.fleet.clock.advance(PAST_SECONDS)
+            self.fleet.clock.advance(STALE_SECONDS)
             self.loads.request_sum()
         neighbours = self.loads._count_reporters()
-        seconds = 500 * PAST_SECONDS
+        seconds = 500 * STALE_SECONDS
         allowed = seconds * MAX_QUERY_RATE / neighbours + BURST
         self.assertLessEqual(sent.call_count, allowed)
         self.assertGreater(sent.call_count, 0.9 * allowed)
@@ -410,8 +418,8 @@
 class TestWaiting(unittest.IsolatedAsyncioTestCase):
     async def test_choice_goes_on_without_an_answer(self):
         fleet = Fleet(60)
-        fleet.turn()
-        fleet.clock.advance(PAST_SECONDS)
+        fleet.run_round()
+        fleet.clock.advance(STALE_SECONDS)
         loads = fleet.routers['r0'].loads
         fleet.down = {loads._choice.choose().removeprefix('router/')}
         await loads.refresh()
@@ -425,7 +433,7 @@
         upstream.in_flight = 2
         fleet.routers['r0'].loads._send_report()
         for name in fleet.routers:
-            self.assertEqual(fleet.get_seen(name), (2, 0))
+            self.assertEqual(fleet.get_known_load(name), (2, 0))
 
 
 class TestFreshSum(unittest.TestCase):
--- a/tests/cover/test_peer_loads.py
+++ b/tests/cover/test_peer_loads.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Loads that routers tell each other: summed, short-lived, never garbage."""
+"""Tests of load reports: sums, expiry, prefixes and invalid datagrams."""
 
 import asyncio
 import datetime
@@ -65,11 +65,11 @@
             name, self.directory, self.roster, self.parts, self.clock
         )
 
-    def meet(self, name, address):
+    def add_peer(self, name, address):
         row = msgspec.json.encode(RouterRow('a', str(address)))
         self.roster.take(VersionedRow(f'router/{name}', row, 1))
 
-    def get_peers(self):
+    def get_peer_load(self):
         return self.upstream.peers_in_flight, self.upstream.peers_unread
 
 
@@ -80,7 +80,7 @@
     def test_reports_of_all_routers_are_summed(self):
         self.router.loads.apply_report(make_report('a', 1, 2, 100))
         self.router.loads.apply_report(make_report('b', 1, 3, 50))
-        self.assertEqual(self.router.get_peers(), (5, 150))
+        self.assertEqual(self.router.get_peer_load(), (5, 150))
 
     def test_reports_that_come_one_after_the_other_are_summed_as_at_once(self):
         for number in range(1, 6):
@@ -89,9 +89,9 @@
                     make_report(vm, number, number, 10)
                 )
                 self.router.clock.advance(0.04)
-        self.assertEqual(self.router.get_peers(), (15, 30))
+        self.assertEqual(self.router.get_peer_load(), (15, 30))
         self.router.loads._ledger.rebuild()
-        self.assertEqual(self.router.get_peers(), (15, 30))
+        self.assertEqual(self.router.get_peer_load(), (15, 30))
 
     def test_upstream_that_came_in_between_has_no_load_below_zero(self):
         self.router.loads.apply_report(make_report('a', 1, 4))
@@ -105,64 +105,64 @@
     def test_newer_report_replaces_and_overtaken_one_is_dropped(self):
         for number, in_flight in ((1, 2), (3, 7), (2, 9)):
             self.router.loads.apply_report(make_report('a', number, in_flight))
-        self.assertEqual(self.router.get_peers()[0], 7)
+        self.assertEqual(self.router.get_peer_load()[0], 7)
 
     def test_router_that_fell_silent_holds_nothing_busy(self):
         self.router.loads.apply_report(make_report('a', 1, 2))
         self.router.clock.advance(FRESH_SECONDS + 0.1)
         self.router.loads.apply_report(make_report('b', 1, 3))
-        self.assertEqual(self.router.get_peers()[0], 3)
+        self.assertEqual(self.router.get_peer_load()[0], 3)
 
     def test_restarted_router_is_believed_again(self):
         self.router.loads.apply_report(make_report('a', 900, 2))
         self.router.clock.advance(FRESH_SECONDS + 0.1)
         self.router.loads.apply_report(make_report('a', 1, 4))
-        self.assertEqual(self.router.get_peers()[0], 4)
+        self.assertEqual(self.router.get_peer_load()[0], 4)
 
     def test_regression_many_routers_hear_no_more_than_few(self):
-        # With 78 routers each heard 520 reports a second; the day took more
-        # processor time than it may.
+        # With a fixed report period, each of 78 routers received 520 reports a
+        # second, which exceeded the limit of processor time.
         self.router.roster.loaded = True
         for count in (8, 30, 69, 350):
             for number in range(count):
-                self.router.meet(f'r{number}', '10.0.0.1:7400')
-            told = 1 / self.router.loads.get_report_seconds()
-            self.assertLessEqual(count * told, MAX_REPORT_RATE + 1e-6)
-        self.assertLess(1 / told, FRESH_SECONDS * FRESH_REPORTS)
+                self.router.add_peer(f'r{number}', '10.0.0.1:7400')
+            report_rate = 1 / self.router.loads.get_report_seconds()
+            self.assertLessEqual(count * report_rate, MAX_REPORT_RATE + 1e-6)
+        self.assertLess(1 / report_rate, FRESH_SECONDS * FRESH_REPORTS)
 
     def test_report_of_a_large_fleet_counts_until_the_third_next(self):
         self.router.roster.loaded = True
         for number in range(2 * MAX_REPORT_RATE):
-            self.router.meet(f'r{number}', '10.0.0.1:7400')
+            self.router.add_peer(f'r{number}', '10.0.0.1:7400')
         self.assertEqual(self.router.loads.get_report_seconds(), 2.0)
         self.router.loads.apply_report(make_report('a', 1, 2))
         self.router.clock.advance(5.9)
         self.router.loads.apply_report(make_report('b', 1, 3))
-        self.assertEqual(self.router.get_peers()[0], 5)
+        self.assertEqual(self.router.get_peer_load()[0], 5)
         self.router.clock.advance(0.2)
         self.router.loads.apply_report(make_report('b', 2, 3))
-        self.assertEqual(self.router.get_peers()[0], 3)
+        self.assertEqual(self.router.get_peer_load()[0], 3)
 
     def test_garbage_is_dropped_and_told(self):
         self.router.loads.apply_report(make_report('a', 1, 2))
         for data in (b'', b'\xc1', b'not a report', b'\x93\x01\x02\x03'):
             with self.assertLogs('lifttrestle.intake', 'ERROR'):
                 self.router.loads.datagram_received(data, ('1.2.3.4', 5))
-        self.assertEqual(self.router.get_peers()[0], 2)
+        self.assertEqual(self.router.get_peer_load()[0], 2)
 
 
 class TestParts(unittest.TestCase):
     def test_parts_that_one_router_had_read_are_known_to_the_others(self):
-        teller, hearer = Router('a'), Router('b')
+        sender, receiver = Router('a'), Router('b')
         parts = (PromptPart('aa', 400),)
-        teller.parts.note_read('salt', parts, 0.0)
-        news = teller.parts.take_news()
-        hearer.loads.apply_report(LoadReport('a', 1, [], news))
-        self.assertEqual(hearer.parts.count_unknown('salt', parts), 0)
-        self.assertEqual(hearer.parts.count_unknown('other', parts), 400)
-        # What was told goes no further, and is told once.
-        self.assertEqual(hearer.parts.take_news(), [])
-        self.assertEqual(teller.parts.take_news(), [])
+        sender.parts.note_read('salt', parts, 0.0)
+        news = sender.parts.take_news()
+        receiver.loads.apply_report(LoadReport('a', 1, [], news))
+        self.assertEqual(receiver.parts.count_unknown('salt', parts), 0)
+        self.assertEqual(receiver.parts.count_unknown('other', parts), 400)
+        # Received prefixes are not forwarded, and own ones are sent once.
+        self.assertEqual(receiver.parts.take_news(), [])
+        self.assertEqual(sender.parts.take_news(), [])
 
     def test_report_stays_small_whatever_was_read(self):
         parts = SharedParts()
@@ -181,36 +181,36 @@
         ]
         for router in routers:
             for name, address in zip('ab', addresses):
-                router.meet(name, address)
-        teller, hearer = routers
+                router.add_peer(name, address)
+        sender, receiver = routers
         for in_flight in (4, 0):
-            teller.upstream.in_flight = in_flight
-            teller.loads._send_report()
+            sender.upstream.in_flight = in_flight
+            sender.loads._send_report()
             async with asyncio.timeout(WAIT_SECONDS):
-                while hearer.get_peers()[0] != in_flight:
+                while receiver.get_peer_load()[0] != in_flight:
                     await asyncio.sleep(0.005)
-        self.assertEqual(teller.get_peers(), (0, 0))
+        self.assertEqual(sender.get_peer_load(), (0, 0))
         for router in routers:
             router.loads.close()
 
     async def test_regression_unreadable_address_ends_no_router(self):
-        # The work that tells of loads ended with an error, and a router
-        # stops when any such work does: one row stopped all of them.
+        # An unreadable address in one roster row raised in the task that sends
+        # reports. A router stops when such a task fails, so all routers did.
         router = Router('me')
         transport = mock.Mock()
         router.loads._transport = transport
-        router.meet('a', 'router.example:7400')
-        router.meet('b', '1.2.3.4:7400')
+        router.add_peer('a', 'router.example:7400')
+        router.add_peer('b', '1.2.3.4:7400')
         router.upstream.in_flight = 1
-        telling = asyncio.create_task(router.loads.run())
+        reporting = asyncio.create_task(router.loads.run())
         await asyncio.sleep(0)
         router.loads.note_change()
         for _ in range(6):
             await asyncio.sleep(0)
-        self.assertFalse(telling.done())
-        told = [call.args[1] for call in transport.sendto.call_args_list]
-        self.assertEqual(told, [('1.2.3.4', 7400)])
-        telling.cancel()
+        self.assertFalse(reporting.done())
+        addresses = [call.args[1] for call in transport.sendto.call_args_list]
+        self.assertEqual(addresses, [('1.2.3.4', 7400)])
+        reporting.cancel()
 
 
 class TestTellPacing(unittest.TestCase):
@@ -219,7 +219,10 @@
         self.pacing = ReportPacer(self.clock)
 
     def _send(self, routers, seconds, every):
-        """Return how many reports go out when changes come ``every``."""
+        """Return the number of reports sent.
+
+        :param every: seconds between two changes.
+        """
         end = self.clock.monotonic() + seconds
         sent = 0
         while self.clock.monotonic() < end:
--- a/tests/support/load_simulation.py
+++ b/tests/support/load_simulation.py
@@ -10,12 +10,12 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""A load that several routers place on engines, played in simulated time.
+"""Simulation of requests that several routers place on engines.
 
-The engines read prompts one after the other at a fixed pace and begin each
-answer when its prompt is read; nothing else takes time. Each router chooses
-by the product's own code, by what it has under way itself and what the others
-have told. What counts is what callers get.
+Engines prefill prompts one after the other at a fixed rate and begin each
+answer after its prefill; nothing else takes time. Each router chooses engines
+with the production code, by its own load and the loads that the others
+reported. The result is what the callers get.
 """
 
 import collections
@@ -54,15 +54,15 @@
 
 START = datetime.datetime(2026, 1, 1, tzinfo=datetime.timezone.utc)
 DATA_CENTRES = 6
-SUMS_PAY = 'lifttrestle.internal.fleet.state.peer_loads.uses_aggregation'
-# Between two routers, one way.
+AGGREGATION = 'lifttrestle.internal.fleet.state.peer_loads.uses_aggregation'
+# Time that a datagram takes between two routers, one way.
 DATAGRAM_SECONDS = 0.002
-# From a refusal to the next try, beside the time that the caller was told.
+# Time from a refusal to the retry, in addition to the advised delay.
 ROUND_TRIP_SECONDS = 0.05
 
 
-class Fate(enum.Enum):
-    """What a caller got."""
+class Outcome(enum.Enum):
+    """Outcome of one request."""
 
     IN_TIME = 'in time'
     LATE = 'late'
@@ -70,17 +70,17 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class PlayedLoad:
-    """What is played.
-
-    :ivar rate: requests a second that all routers get together.
-    :ivar long_share: of them, with ``long_tokens`` to read.
-    :ivar read_seconds: that an engine really takes for a token.
-    :ivar told_at_once: routers tell of long prompts as they send them.
-    :ivar learns: routers learn the engines' pace from their answers.
-    :ivar sheds: routers refuse what would wait too long.
-    :ivar sums: one router of each data centre adds up loads; None for what
-        the routers themselves decide.
+class LoadScenario:
+    """Settings of a simulated load.
+
+    :ivar rate: requests per second at all routers together.
+    :ivar long_share: fraction of requests with ``long_tokens`` to prefill.
+    :ivar read_seconds: actual prefill time per token.
+    :ivar reports_at_once: whether routers report long prompts at once.
+    :ivar learns: whether routers learn the prefill rate from the answers.
+    :ivar sheds: whether routers refuse requests that would wait too long.
+    :ivar aggregates: whether one router of each data centre aggregates loads;
+        None if that depends on the size of the fleet.
     """
 
     seconds: float = 20.0
@@ -92,21 +92,21 @@
     short_tokens: int = 700
     target_seconds: float = 0.6
     read_seconds: float = 30e-6
-    told_at_once: bool = True
+    reports_at_once: bool = True
     learns: bool = True
     sheds: bool = True
-    sums: bool | None = None
+    aggregates: bool | None = None
 
 
-class PlayedRouter:
-    """One router's view, and its choices."""
+class SimulatedRouter:
+    """State of one router."""
 
     def __init__(
         self,
         number: int,
         engines: list[str],
         clock: ManualClock,
-        carry: Callable[[bytes, tuple[str, int]], None],
+        deliver: Callable[[bytes, tuple[str, int]], None],
     ) -> None:
         self.clock = clock
         self.directory = UpstreamDirectory(PlatformFormat(), clock)
@@ -124,12 +124,12 @@
         self.loads = PeerLoads(
             f'r{number}', self.directory, self.roster, self.parts, clock
         )
-        self.loads._transport = mock.Mock(sendto=carry)
-        # Choices that wait until the loads are known.
+        self.loads._transport = mock.Mock(sendto=deliver)
+        # Placement decisions that wait for current loads.
         self.waiting: list[Callable[[], None]] = []
 
-    def find_pause(self) -> float:
-        """Return after how long the next report may go out."""
+    def reserve_report(self) -> float:
+        """Reserve a report; return the seconds until it may be sent."""
         loads = self.loads
         return loads._report_pacer.take(loads._count_reporters())
 
@@ -140,59 +140,65 @@
 
 
 def get_address(number: int) -> str:
-    """Return where a router hears of loads; its number can be read off."""
+    """Return the address of a router; it encodes the number of the router."""
     return f'10.0.{number // 250}.{number % 250}:7400'
 
 
-class PlayedFleet:
-    """Plays one load."""
+class LoadSimulation:
+    """Simulates one load."""
 
-    def __init__(self, load: PlayedLoad, seed: int) -> None:
+    def __init__(self, load: LoadScenario, seed: int) -> None:
         self._load = load
         self._source = random.Random(seed)
         self._clock = ManualClock(START)
         engines = [f'e{number}' for number in range(load.engines)]
         self._free_at = dict.fromkeys(engines, 0.0)
         self._routers = [
-            PlayedRouter(number, engines, self._clock, self._carry)
+            SimulatedRouter(number, engines, self._clock, self._deliver)
             for number in range(load.routers)
         ]
-        self._introduce()
+        self._fill_rosters()
         self.datagrams = 0
-        self._telling: set[PlayedRouter] = set()
+        self._pending_reports: set[SimulatedRouter] = set()
         self._events: list[tuple[float, int, object]] = []
         self._order = itertools.count()
-        self.fates: collections.Counter[Fate] = collections.Counter()
-
-    def play(self) -> collections.Counter[Fate]:
-        """Return what the callers got."""
-        if self._load.sums is not None:
-            with mock.patch(SUMS_PAY, lambda routers: self._load.sums):
-                return self._play()
-        return self._play()
-
-    def _play(self) -> collections.Counter[Fate]:
-        self._plan()
+        self.outcomes: collections.Counter[Outcome] = collections.Counter()
+
+    def run(self) -> collections.Counter[Outcome]:
+        """Run the simulation; return the number of requests by outcome."""
+        if self._load.aggregates is not None:
+            with mock.patch(
+                AGGREGATION, lambda routers: self._load.aggregates
+            ):
+                return self._run()
+        return self._run()
+
+    def _run(self) -> collections.Counter[Outcome]:
+        self._schedule_events()
         while self._events:
             at, _, act = heapq.heappop(self._events)
             self._clock.advance(at - self._clock.monotonic())
             act()  # type: ignore[operator]
-        return self.fates
+        return self.outcomes
 
-    def _plan(self) -> None:
+    def _schedule_events(self) -> None:
         load = self._load
         at = 0.0
         while at < load.seconds:
             at += self._source.expovariate(load.rate)
             long_one = self._source.random() < load.long_share
-            self._at(at, lambda at=at, long=long_one: self._arrive(at, long))
+            self._schedule(
+                at, lambda at=at, long=long_one: self._handle_request(at, long)
+            )
         for router in self._routers:
             at = self._source.uniform(0, REPORT_SECONDS)
-            self._at(at, lambda router=router: self._tell_regularly(router))
+            self._schedule(
+                at, lambda router=router: self._report_regularly(router)
+            )
             at = self._source.uniform(0, SUM_SECONDS)
-            self._at(at, lambda router=router: self._tell_sums(router))
+            self._schedule(at, lambda router=router: self._send_sums(router))
 
-    def _introduce(self) -> None:
+    def _fill_rosters(self) -> None:
         rows = []
         for number in range(self._load.routers):
             row = RouterRow(get_data_centre(number), get_address(number))
@@ -203,55 +209,62 @@
             for row in rows:
                 router.roster.take(row)
 
-    def _at(self, at: float, act: object) -> None:
+    def _schedule(self, at: float, act: object) -> None:
         heapq.heappush(self._events, (at, next(self._order), act))
 
-    def _carry(self, data: bytes, address: tuple[str, int]) -> None:
-        """Bring a datagram to its router a little later."""
+    def _deliver(self, data: bytes, address: tuple[str, int]) -> None:
+        """Schedule the arrival of a datagram at its router."""
         _, _, high, low = address[0].split('.')
-        hearer = self._routers[250 * int(high) + int(low)]
+        receiver = self._routers[250 * int(high) + int(low)]
         self.datagrams += 1
         at = self._clock.monotonic() + DATAGRAM_SECONDS
-        self._at(at, lambda: self._hear(hearer, data, address))
+        self._schedule(at, lambda: self._receive(receiver, data, address))
 
-    def _hear(
-        self, hearer: PlayedRouter, data: bytes, address: tuple[str, int]
+    def _receive(
+        self, receiver: SimulatedRouter, data: bytes, address: tuple[str, int]
     ) -> None:
-        hearer.loads.datagram_received(data, address)
-        if hearer.loads.is_current():
-            self._go_on(hearer)
+        receiver.loads.datagram_received(data, address)
+        if receiver.loads.is_current():
+            self._resume_waiting(receiver)
 
-    def _go_on(self, router: PlayedRouter) -> None:
+    def _resume_waiting(self, router: SimulatedRouter) -> None:
         waiting, router.waiting = router.waiting, []
         for choose in waiting:
             choose()
 
-    def _tell_regularly(self, router: PlayedRouter) -> None:
-        self._tell(router, is_query=True)
+    def _report_regularly(self, router: SimulatedRouter) -> None:
+        self._request_report(router, is_query=True)
         at = self._clock.monotonic() + router.loads._get_regular_seconds()
         if at < self._load.seconds:
-            self._at(at, lambda: self._tell_regularly(router))
+            self._schedule(at, lambda: self._report_regularly(router))
 
-    def _tell_sums(self, router: PlayedRouter) -> None:
+    def _send_sums(self, router: SimulatedRouter) -> None:
         router.loads.send_sums()
         at = self._clock.monotonic() + SUM_SECONDS
         if at < self._load.seconds:
-            self._at(at, lambda: self._tell_sums(router))
+            self._schedule(at, lambda: self._send_sums(router))
 
-    def _tell(self, router: PlayedRouter, *, is_query: bool = False) -> None:
-        """Have a router tell its loads as soon as it may."""
-        if router in self._telling:
+    def _request_report(
+        self, router: SimulatedRouter, *, is_query: bool = False
+    ) -> None:
+        """Schedule a report for the time when its rate limit permits it."""
+        if router in self._pending_reports:
             return
-        self._telling.add(router)
-        at = self._clock.monotonic() + router.find_pause()
-        self._at(at, lambda: self._tell_now(router, is_query))
+        self._pending_reports.add(router)
+        at = self._clock.monotonic() + router.reserve_report()
+        self._schedule(at, lambda: self._send_report_now(router, is_query))
 
-    def _tell_now(self, router: PlayedRouter, is_query: bool) -> None:
-        self._telling.discard(router)
+    def _send_report_now(
+        self, router: SimulatedRouter, is_query: bool
+    ) -> None:
+        self._pending_reports.discard(router)
         router.loads._send_report(is_query=is_query)
 
-    def _arrive(self, first_at: float, is_long: bool) -> None:
-        """Take a request; ``first_at`` is when its caller first tried."""
+    def _handle_request(self, first_at: float, is_long: bool) -> None:
+        """Handle a request.
+
+        :param first_at: time of the first attempt of the caller.
+        """
         router = self._source.choice(self._routers)
         if not router.loads.is_current():
             router.loads.request_sum()
@@ -264,15 +277,15 @@
                 router.waiting.remove(choose)
             self._place(router, first_at, is_long)
 
-        def wait_no_longer() -> None:
+        def stop_waiting() -> None:
             if choose in router.waiting:
                 choose()
 
         router.waiting.append(choose)
-        self._at(self._clock.monotonic() + ANSWER_SECONDS, wait_no_longer)
+        self._schedule(self._clock.monotonic() + ANSWER_SECONDS, stop_waiting)
 
     def _place(
-        self, router: PlayedRouter, first_at: float, is_long: bool
+        self, router: SimulatedRouter, first_at: float, is_long: bool
     ) -> None:
         """Place a request on an engine, or refuse it."""
         load = self._load
@@ -289,7 +302,7 @@
             ),
             self._source,
         )
-        assert placement is not None, 'no engine is ever lost here'
+        assert placement is not None, 'no engine fails in this simulation'
         shedding = None
         if load.sheds:
             shedding = decide_shedding(
@@ -300,14 +313,16 @@
         if shedding is None:
             self._send(router, placement, tokens, first_at)
         elif now > first_at:
-            self.fates[Fate.REFUSED_TWICE] += 1
+            self.outcomes[Outcome.REFUSED_TWICE] += 1
         else:
             back_at = now + shedding.retry_after + ROUND_TRIP_SECONDS
-            self._at(back_at, lambda: self._arrive(first_at, is_long))
+            self._schedule(
+                back_at, lambda: self._handle_request(first_at, is_long)
+            )
 
     def _send(
         self,
-        router: PlayedRouter,
+        router: SimulatedRouter,
         placement: Placement,
         tokens: int,
         first_at: float,
@@ -322,8 +337,8 @@
         self._free_at[upstream.instance] = read_at
         upstream.in_flight += 1
         upstream.note_sent(ticket, now, unread=tokens)
-        if load.told_at_once and is_long:
-            self._tell(router)
+        if load.reports_at_once and is_long:
+            self._request_report(router)
 
         def answer() -> None:
             seconds = self._clock.monotonic() - now
@@ -335,8 +350,8 @@
                 )
             since_first = self._clock.monotonic() - first_at
             in_time = since_first <= load.target_seconds
-            self.fates[Fate.IN_TIME if in_time else Fate.LATE] += 1
-            if load.told_at_once and is_long:
-                self._tell(router)
+            self.outcomes[Outcome.IN_TIME if in_time else Outcome.LATE] += 1
+            if load.reports_at_once and is_long:
+                self._request_report(router)
 
-        self._at(read_at + FIRST_STEP_SECONDS, answer)
+        self._schedule(read_at + FIRST_STEP_SECONDS, answer)
