--- a/src/lifttrestle/internal/fleet/state/peer_loads.py
+++ b/src/lifttrestle/internal/fleet/state/peer_loads.py
@@ -139,15 +139,15 @@
 
     def _send_fleet_sum(self, vm: str) -> None:
         """Answer the query of a router with the sum of the fleet."""
-        whole = self._aggregator.build_fleet_sum(
+        fleet_sum = self._aggregator.build_fleet_sum(
             vm,
             self._clock.monotonic(),
             self._usage_publisher.build_answer(vm),
         )
         if vm == self._vm:
-            self._handle_fleet_sum(whole)
+            self._handle_fleet_sum(fleet_sum)
         else:
-            self.send(whole, f'{ROUTER_PREFIX}{vm}')
+            self.send(fleet_sum, f'{ROUTER_PREFIX}{vm}')
 
     def _handle_group_sum(self, group: GroupSum) -> None:
         self._aggregator.handle_group_sum(group, self._clock.monotonic())
@@ -156,19 +156,19 @@
         )
         self._usage_publisher.handle_report(group.vm, data_centre, group.usage)
 
-    def _handle_fleet_sum(self, whole: FleetSum) -> None:
+    def _handle_fleet_sum(self, fleet_sum: FleetSum) -> None:
         """Apply a sum if it is from the aggregator of this router."""
         now = self._clock.monotonic()
-        self._parts.note_told(whole.parts, now)
-        if self._choice.note_answer(f'{ROUTER_PREFIX}{whole.vm}'):
-            own = self._own_reports.get(whole.included, [])
-            rest = subtract_loads(whole.loads, own)
-            if whole.vm != self._sum_sender:
+        self._parts.note_told(fleet_sum.parts, now)
+        if self._choice.note_answer(f'{ROUTER_PREFIX}{fleet_sum.vm}'):
+            own = self._own_reports.get(fleet_sum.included, [])
+            rest = subtract_loads(fleet_sum.loads, own)
+            if fleet_sum.vm != self._sum_sender:
                 # Each aggregator numbers its sums independently.
                 self._ledger.reset(OTHER_ROUTERS)
-                self._sum_sender = whole.vm
-            self._ledger.update(OTHER_ROUTERS, whole.number, rest)
-            self._usage_publisher.handle_answer(whole.levels)
+                self._sum_sender = fleet_sum.vm
+            self._ledger.update(OTHER_ROUTERS, fleet_sum.number, rest)
+            self._usage_publisher.handle_answer(fleet_sum.levels)
             self._sum_received_at = now
             self._sum_received.set()
 
--- a/tests/cover/test_played_load.py
+++ b/tests/cover/test_played_load.py
@@ -40,10 +40,10 @@
 
 def simulate(load):
     """Return the shares of requests by outcome over all seeds."""
-    played = [LoadSimulation(load, seed).run() for seed in SEEDS]
-    total = sum(sum(outcomes.values()) for outcomes in played)
+    runs = [LoadSimulation(load, seed).run() for seed in SEEDS]
+    total = sum(sum(outcomes.values()) for outcomes in runs)
     return {
-        outcome: sum(outcomes[outcome] for outcomes in played) / total
+        outcome: sum(outcomes[outcome] for outcomes in runs) / total
         for outcome in Outcome
     }
 
@@ -106,10 +106,10 @@
     def test_pace_that_is_not_learned_lets_too_many_wait(self):
         # Prefill takes 30 microseconds per token, but routers assume 17: 0.53
         # are in time, and 0.79 if they learn the rate from answers.
-        believed = simulate(
+        assumed = simulate(
             LoadScenario(rate=OVERLOAD_RATE, seconds=15, learns=False)
         )
         learned = simulate(LoadScenario(rate=OVERLOAD_RATE, seconds=15))
         self.assertGreater(
-            learned[Outcome.IN_TIME], believed[Outcome.IN_TIME] + 0.2
+            learned[Outcome.IN_TIME], assumed[Outcome.IN_TIME] + 0.2
         )
