--- a/tests/cover/test_limit_memory.py
+++ b/tests/cover/test_limit_memory.py
@@ -21,7 +21,7 @@
 from lifttrestle.internal.fleet.limits.messages import LimitItem
 from lifttrestle.internal.fleet.limits.messages import LimitUpdate
 from lifttrestle.internal.fleet.policy.limit_belief import ReportedLimit
-from lifttrestle.internal.fleet.state.load_messages import read_message
+from lifttrestle.internal.fleet.state.load_messages import decode_message
 from lifttrestle.internal.fleet.state.rows import VersionedRow
 from tests.support.entries import make_entry
 from tests.support.limit_simulation import LimitScenario
@@ -199,7 +199,7 @@
         for rate in (-1.0, float('nan'), float('inf')):
             update = LimitUpdate('r1', [LimitItem(1, rate, 0.0, 0.0)])
             with self.assertRaises(ValueError):
-                read_message(msgspec.msgpack.encode(update))
+                decode_message(msgspec.msgpack.encode(update))
 
     async def test_start_asks_others_before_it_is_ready(self):
         self.receive_answer(3, 1.0)
--- a/tests/cover/test_load_sums.py
+++ b/tests/cover/test_load_sums.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Tests of sums of loads, which a few routers tell the others."""
+"""Tests of aggregated loads: a few routers send sums to the others."""
 
 import collections
 import unittest
@@ -33,11 +33,11 @@
 from lifttrestle.internal.fleet.state.catalogue import Workspace
 from lifttrestle.internal.fleet.state.directory import UpstreamDirectory
 from lifttrestle.internal.fleet.state.fresh_sum import FreshSum
-from lifttrestle.internal.fleet.state.load_aggregation import add_up
-from lifttrestle.internal.fleet.state.load_aggregation import KEPT_NEWS
-from lifttrestle.internal.fleet.state.load_aggregation import MAX_NEWS
-from lifttrestle.internal.fleet.state.load_aggregation import NewsLog
-from lifttrestle.internal.fleet.state.load_aggregation import take_off
+from lifttrestle.internal.fleet.state.load_aggregation import MAX_LOGGED_PARTS
+from lifttrestle.internal.fleet.state.load_aggregation import MAX_MESSAGE_PARTS
+from lifttrestle.internal.fleet.state.load_aggregation import PartLog
+from lifttrestle.internal.fleet.state.load_aggregation import subtract_loads
+from lifttrestle.internal.fleet.state.load_aggregation import sum_loads
 from lifttrestle.internal.fleet.state.load_messages import LoadReport
 from lifttrestle.internal.fleet.state.load_messages import UpstreamLoad
 from lifttrestle.internal.fleet.state.peer_loads import CURRENT_SECONDS
@@ -53,20 +53,20 @@
 from tests.support.entries import make_entry
 from tests.support.memory_rows import MemoryRows
 
-# Longer than sums take; twelve turns are longer than loads are fresh.
-TURN_SECONDS = 0.05
-# After this a sum is not current.
-PAST_SECONDS = 2 * CURRENT_SECONDS
+# Longer than the period of sums; reports expire within twelve rounds.
+ROUND_SECONDS = 0.05
+# A sum of this age is no longer current.
+STALE_SECONDS = 2 * CURRENT_SECONDS
 ENGINES = ('e1', 'e2', 'e3')
 DATA_CENTRES = ('a', 'b', 'c')
-# Its level hardly rises while a test lasts.
+# Its level recovers only slightly during a test.
 WORKSPACE = Workspace(
     'acme', None, False, UsageCap(5.0, 1000.0, UsageUnit.TOKENS)
 )
 CAPS = {WORKSPACE.digest: WORKSPACE.cap}
 PROMISES = Promises()
-# After so many turns a router that adds up has heard of all others.
-SETTLED_TURNS = 8
+# Rounds until an aggregator has received the usage of all others.
+SYNC_ROUNDS = 8
 LOADS = st.lists(
     st.builds(
         UpstreamLoad,
@@ -79,13 +79,17 @@
 
 
 class Fleet:
-    """Routers that tell each other over a network of one mapping."""
+    """Routers that exchange datagrams in memory.
+
+    :ivar down: names of the routers that receive and send nothing.
+    :ivar received: number of datagrams that each router received.
+    """
 
     def __init__(self, count):
         self.clock = ManualClock(START)
         self.routers = {}
         self.down = set()
-        self.heard = collections.Counter()
+        self.received = collections.Counter()
         names = [f'r{number}' for number in range(count)]
         rows = []
         for number, name in enumerate(names):
@@ -118,34 +122,37 @@
             usage=router.usage,
         )
         router.loads._transport = mock.Mock()
-        router.loads._transport.sendto = self.carry
+        router.loads._transport.sendto = self.deliver
         return router
 
-    def carry(self, data, address):
+    def deliver(self, data, address):
         host = address[0].split('.')
         name = f'r{250 * int(host[2]) + int(host[3])}'
         if name not in self.down:
-            self.heard[name] += 1
+            self.received[name] += 1
             self.routers[name].loads.datagram_received(data, None)
 
-    def turn(self):
-        """Let every router tell, those that add up too, and then ask."""
-        living = [
+    def run_round(self):
+        """Let every router report, aggregators send sums, and all query."""
+        live = [
             router.loads
             for name, router in self.routers.items()
             if name not in self.down
         ]
-        for loads in living:
-            loads._tell()
+        for loads in live:
+            loads._send_report()
         for _ in range(2):
-            self.clock.advance(TURN_SECONDS)
-            for loads in living:
-                loads.tell_sums()
-        for loads in living:
-            loads._tell(asks=True)
-
-    def get_seen(self, name, engine='e1'):
-        """Return what a router takes to be under way there, its own too."""
+            self.clock.advance(ROUND_SECONDS)
+            for loads in live:
+                loads.send_sums()
+        for loads in live:
+            loads._send_report(is_query=True)
+
+    def get_known_load(self, name, engine='e1'):
+        """Return the load at an engine as a router sees it.
+
+        :return: requests in flight and unread tokens, including its own.
+        """
         upstream = self.routers[name].directory.get(engine)
         return (
             upstream.in_flight + upstream.peers_in_flight,
@@ -154,27 +161,27 @@
 
 
 class TestUsage(unittest.TestCase):
-    """What workspaces use of their caps is told beside the loads."""
+    """Usage of workspaces is reported together with the loads."""
 
     def make_fleet(self, count):
         fleet = Fleet(count)
-        for _ in range(SETTLED_TURNS):
-            fleet.turn()
+        for _ in range(SYNC_ROUNDS):
+            fleet.run_round()
         return fleet
 
     def use(self, fleet, name, units):
         router = fleet.routers[name]
         for _ in range(2):
             router.usage.request_level(WORKSPACE)
-            fleet.turn()
+            fleet.run_round()
         facts = router.usage.admit(WORKSPACE, units)
         self.assertIsNone(facts.retry_seconds)
 
     def get_left(self, fleet, name):
-        """Return what a router takes to be left when it has asked."""
+        """Return the remaining units that a router knows after a query."""
         fleet.routers[name].usage.request_level(WORKSPACE)
         for _ in range(3):
-            fleet.turn()
+            fleet.run_round()
         level = fleet.routers[name].usage.find_level(WORKSPACE)
         return level.get_left(fleet.clock.monotonic())
 
@@ -201,16 +208,16 @@
         fleet = self.make_fleet(60)
         self.use(fleet, 'r0', 800.0)
         for _ in range(3):
-            fleet.turn()
-        adding = {
+            fleet.run_round()
+        aggregators = {
             name
             for name, router in fleet.routers.items()
             if not router.usage.uses_aggregator
         }
-        fleet.down = adding
+        fleet.down = aggregators
         for _ in range(6):
-            fleet.turn()
-        name = min(set(fleet.routers) - adding - {'r0'})
+            fleet.run_round()
+        name = min(set(fleet.routers) - aggregators - {'r0'})
         self.assertLess(self.get_left(fleet, name), 300.0)
 
 
@@ -229,27 +236,27 @@
         self.add_load('r1', 3, 700)
         self.add_load('r59', 1, 40)
         for _ in range(2):
-            self.fleet.turn()
+            self.fleet.run_round()
         for name in self.fleet.routers:
             with self.subTest(router=name):
-                self.assertEqual(self.fleet.get_seen(name), (6, 5740))
+                self.assertEqual(self.fleet.get_known_load(name), (6, 5740))
 
     def test_own_load_that_ended_is_not_counted_twice(self):
         self.add_load('r0', 4, 900)
         for _ in range(2):
-            self.fleet.turn()
+            self.fleet.run_round()
         self.add_load('r0', 1)
-        self.assertEqual(self.fleet.get_seen('r0'), (1, 0))
+        self.assertEqual(self.fleet.get_known_load('r0'), (1, 0))
 
     def test_load_that_ended_is_forgotten(self):
         self.add_load('r0', 4, 900)
-        self.fleet.turn()
+        self.fleet.run_round()
         upstream = self.fleet.routers['r0'].directory.get('e1')
         upstream.in_flight = 0
         upstream.owed.clear()
         for _ in range(2):
-            self.fleet.turn()
-        self.assertEqual(self.fleet.get_seen('r7'), (0, 0))
+            self.fleet.run_round()
+        self.assertEqual(self.fleet.get_known_load('r7'), (0, 0))
 
     def test_loss_of_those_that_add_up_is_made_up_for(self):
         chosen = {
@@ -263,146 +270,147 @@
             )
             for data_centre in DATA_CENTRES
         }
-        self.fleet.turn()
+        self.fleet.run_round()
         self.fleet.down = {key.removeprefix('router/') for key in chosen}
-        living = sorted(set(self.fleet.routers) - self.fleet.down)
-        self.add_load(living[0], 2, 300)
-        self.add_load(living[1], 1, 20)
+        live = sorted(set(self.fleet.routers) - self.fleet.down)
+        self.add_load(live[0], 2, 300)
+        self.add_load(live[1], 1, 20)
         for _ in range(12):
-            self.fleet.turn()
-        for name in living:
-            self.assertEqual(self.fleet.get_seen(name), (3, 320))
+            self.fleet.run_round()
+        for name in live:
+            self.assertEqual(self.fleet.get_known_load(name), (3, 320))
 
     def test_lost_router_holds_no_engine_busy(self):
         self.add_load('r0', 4, 900)
-        self.fleet.turn()
+        self.fleet.run_round()
         self.fleet.down = {'r0'}
         for _ in range(12):
-            self.fleet.turn()
-        self.assertEqual(self.fleet.get_seen('r8'), (0, 0))
+            self.fleet.run_round()
+        self.assertEqual(self.fleet.get_known_load('r8'), (0, 0))
 
     def test_parts_that_one_router_had_read_are_known_to_all(self):
-        teller = self.fleet.routers['r0']
-        teller.parts._remember(77, 0.0)
-        teller.parts._news.append(77)
+        sender = self.fleet.routers['r0']
+        sender.parts._remember(77, 0.0)
+        sender.parts._news.append(77)
         for _ in range(2):
-            self.fleet.turn()
+            self.fleet.run_round()
         for name, router in self.fleet.routers.items():
             with self.subTest(router=name):
                 self.assertIn(77, router.parts._read_at)
 
     def test_nobody_hears_more_than_in_a_small_fleet(self):
-        # Of 195 routers each heard 250 reports a second; each hears 10 sums,
-        # and one in each data centre what its neighbours tell it.
+        # Without aggregation, each of 195 routers received 250 reports a
+        # second. With it, each receives 10 sums, and the aggregator of each
+        # data centre the reports of its neighbours.
         fleet = Fleet(195)
-        fleet.turn()
-        fleet.heard.clear()
-        fleet.turn()
-        tell_seconds = fleet.routers['r0'].loads.get_tell_seconds()
+        fleet.run_round()
+        fleet.received.clear()
+        fleet.run_round()
+        report_seconds = fleet.routers['r0'].loads.get_report_seconds()
         neighbours = 195 / len(DATA_CENTRES)
-        self.assertLessEqual(neighbours / tell_seconds, MAX_REPORT_RATE)
-        usual = sorted(fleet.heard.values())[len(fleet.heard) // 2]
-        self.assertLessEqual(usual, 2)
+        self.assertLessEqual(neighbours / report_seconds, MAX_REPORT_RATE)
+        median = sorted(fleet.received.values())[len(fleet.received) // 2]
+        self.assertLessEqual(median, 2)
 
     def test_silence_of_the_chosen_one_is_noticed_in_time(self):
-        # Each asks with its regular reports at the latest.
+        # Every regular report is a query.
         fleet = self.fleet
-        fleet.turn()
+        fleet.run_round()
         router = fleet.routers['r0']
         first = router.loads._choice.choose()
         fleet.down = {first.removeprefix('router/')}
-        router.loads._tell(asks=True)
+        router.loads._send_report(is_query=True)
         fleet.clock.advance(SILENT_SECONDS + 0.01)
         self.assertNotEqual(router.loads._choice.choose(), first)
-        regular = router.loads.get_tell_seconds()
+        regular = router.loads.get_report_seconds()
         self.assertLess(regular + SILENT_SECONDS, FRESH_SECONDS)
 
     def test_sum_of_another_router_replaces_one_with_a_higher_number(self):
         fleet = self.fleet
         for _ in range(5):
-            fleet.turn()
+            fleet.run_round()
         router = fleet.routers['r0']
         first = router.loads._choice.choose()
         self.assertNotEqual(first, 'router/r0')
         fleet.down = {first.removeprefix('router/')}
         for name in ('r9', 'r0'):
-            fleet.routers[name].loads._tell(asks=True)
+            fleet.routers[name].loads._send_report(is_query=True)
         fleet.clock.advance(SILENT_SECONDS + 0.01)
         self.add_load('r9', 3, 500)
         for name in ('r9', 'r0'):
-            fleet.routers[name].loads._tell(asks=True)
-        self.assertEqual(fleet.get_seen('r0'), (3, 500))
+            fleet.routers[name].loads._send_report(is_query=True)
+        self.assertEqual(fleet.get_known_load('r0'), (3, 500))
 
 
 class TestQuestions(unittest.TestCase):
-    """A router asks for the sum when it has to choose."""
+    """A router queries the sum when it has to choose an engine."""
 
     def setUp(self):
         self.fleet = Fleet(60)
-        self.fleet.turn()
+        self.fleet.run_round()
         self.loads = self.fleet.routers['r0'].loads
 
     def test_nobody_is_told_who_does_not_ask(self):
-        self.fleet.heard.clear()
+        self.fleet.received.clear()
         for router in self.fleet.routers.values():
-            router.loads.tell_sums()
-        adding = {
+            router.loads.send_sums()
+        aggregators = {
             router.loads._choice.choose().removeprefix('router/')
             for router in self.fleet.routers.values()
         }
         self.assertLessEqual(
-            set(self.fleet.heard),
-            adding | self.list_likely(),
+            set(self.fleet.received),
+            aggregators | self.list_candidate_names(),
         )
 
-    def list_likely(self):
+    def list_candidate_names(self):
         return {
             key.removeprefix('router/')
-            for key in self.loads._choice.list_all()
+            for key in self.loads._choice.list_candidates()
         }
 
     def test_answer_holds_what_was_told_a_moment_ago(self):
-        self.fleet.clock.advance(PAST_SECONDS)
+        self.fleet.clock.advance(STALE_SECONDS)
         other = self.fleet.routers['r3']
         upstream = other.directory.get('e1')
         upstream.in_flight = 1
         upstream.note_sent(1, 0.0, unread=9000)
-        other.loads._tell()
+        other.loads._send_report()
         self.assertFalse(self.loads.is_current())
-        self.loads.ask()
+        self.loads.request_sum()
         self.assertTrue(self.loads.is_current())
-        self.assertEqual(self.fleet.get_seen('r0'), (1, 9000))
+        self.assertEqual(self.fleet.get_known_load('r0'), (1, 9000))
 
     def test_one_question_serves_choices_that_come_together(self):
-        self.fleet.clock.advance(PAST_SECONDS)
+        self.fleet.clock.advance(STALE_SECONDS)
         self.fleet.down = {self.loads._choice.choose().removeprefix('router/')}
         sent = self.loads._transport.sendto = mock.Mock()
-        self.loads.ask()
-        self.loads.ask()
+        self.loads.request_sum()
+        self.loads.request_sum()
         sent.assert_called_once()
 
     def test_many_choices_ask_no_more_than_they_may(self):
         sent = self.loads._transport.sendto = mock.Mock()
         for _ in range(500):
-            self.fleet.clock.advance(PAST_SECONDS)
-            self.loads.ask()
-        neighbours = self.loads._count_tellers()
-        seconds = 500 * PAST_SECONDS
+            self.fleet.clock.advance(STALE_SECONDS)
+            self.loads.request_sum()
+        neighbours = self.loads._count_reporters()
+        seconds = 500 * STALE_SECONDS
         allowed = seconds * MAX_QUERY_RATE / neighbours + BURST
         self.assertLessEqual(sent.call_count, allowed)
         self.assertGreater(sent.call_count, 0.9 * allowed)
 
     def test_parts_are_told_to_each_that_asks_once(self):
-        log = NewsLog()
-        log.add(list(range(MAX_NEWS + 5)))
+        log = PartLog()
+        log.add(list(range(MAX_MESSAGE_PARTS + 5)))
         first, place = log.list_since(0)
         rest, place = log.list_since(place)
-        self.assertEqual([*first, *rest], list(range(MAX_NEWS + 5)))
+        self.assertEqual([*first, *rest], list(range(MAX_MESSAGE_PARTS + 5)))
         self.assertEqual(log.list_since(place), ([], place))
 
     def test_parts_that_are_kept_no_more_are_passed_over(self):
-        log = NewsLog()
-        log.add(list(range(KEPT_NEWS + 7)))
+        log = PartLog()
+        log.add(list(range(MAX_LOGGED_PARTS + 7)))
         first, _ = log.list_since(0)
         self.assertEqual(first[0], 7)
 
@@ -410,11 +418,11 @@
 class TestWaiting(unittest.IsolatedAsyncioTestCase):
     async def test_choice_goes_on_without_an_answer(self):
         fleet = Fleet(60)
-        fleet.turn()
-        fleet.clock.advance(PAST_SECONDS)
+        fleet.run_round()
+        fleet.clock.advance(STALE_SECONDS)
         loads = fleet.routers['r0'].loads
         fleet.down = {loads._choice.choose().removeprefix('router/')}
-        await loads.learn()
+        await loads.refresh()
         self.assertFalse(loads.is_current())
 
 
@@ -423,9 +431,9 @@
         fleet = Fleet(MAX_DIRECT_ROUTERS)
         upstream = fleet.routers['r0'].directory.get('e1')
         upstream.in_flight = 2
-        fleet.routers['r0'].loads._tell()
+        fleet.routers['r0'].loads._send_report()
         for name in fleet.routers:
-            self.assertEqual(fleet.get_seen(name), (2, 0))
+            self.assertEqual(fleet.get_known_load(name), (2, 0))
 
 
 class TestFreshSum(unittest.TestCase):
@@ -448,14 +456,14 @@
             now += pause
             known = last.get(vm)
             overtaken = known is not None and known[0] > number
-            taken = total.take(LoadReport(vm, number, loads), now)
+            taken = total.update(LoadReport(vm, number, loads), now)
             self.assertEqual(taken, not overtaken or now - known[2] >= 1.0)
             if taken:
                 last[vm] = (number, loads, now)
         total.expire(now)
         fresh = {vm for vm, (_, _, at) in last.items() if at >= now - 1.0}
-        self.assertEqual(set(total.list_tellers(now)), fresh)
-        expected = add_up(last[vm][1] for vm in fresh)
+        self.assertEqual(set(total.list_senders(now)), fresh)
+        expected = sum_loads(last[vm][1] for vm in fresh)
         self.assertEqual(
             sorted(total.list_loads(), key=lambda load: load.digest),
             sorted(expected, key=lambda load: load.digest),
@@ -465,7 +473,7 @@
         total = FreshSum(lambda: 1.0)
         for digest in range(100):
             load = UpstreamLoad(digest, 1, 10)
-            total.take(LoadReport('r1', digest, [load]), 0.0)
+            total.update(LoadReport('r1', digest, [load]), 0.0)
         self.assertEqual(len(total._running), 1)
         total.expire(2.0)
         self.assertEqual((len(total), len(total._running)), (0, 0))
@@ -474,8 +482,8 @@
 class TestArithmetic(unittest.TestCase):
     @given(st.lists(LOADS, max_size=4), LOADS)
     def test_taking_off_one_of_a_sum_leaves_the_others(self, others, own):
-        rest = take_off(add_up([*others, own]), own)
-        expected = {load.digest: load for load in add_up(others)}
+        rest = subtract_loads(sum_loads([*others, own]), own)
+        expected = {load.digest: load for load in sum_loads(others)}
         for load in rest:
             left = expected.get(load.digest, UpstreamLoad(load.digest, 0, 0))
             self.assertEqual(load, left)
--- a/tests/support/limit_simulation.py
+++ b/tests/support/limit_simulation.py
@@ -36,8 +36,8 @@
 from lifttrestle.internal.fleet.policy.limit_belief import ReportedLimit
 from lifttrestle.internal.fleet.policy.limit_permits import rank_request
 from lifttrestle.internal.fleet.state.directory import UpstreamDirectory
-from lifttrestle.internal.fleet.state.load_messages import read_message
-from lifttrestle.internal.fleet.state.load_messages import write_message
+from lifttrestle.internal.fleet.state.load_messages import decode_message
+from lifttrestle.internal.fleet.state.load_messages import encode_message
 from lifttrestle.internal.fleet.state.roster import Roster
 from lifttrestle.internal.fleet.state.roster import RouterRow
 from lifttrestle.internal.fleet.state.rows import VersionedRow
@@ -259,7 +259,7 @@
         by_type = {}
 
         def handle(data: bytes) -> None:
-            message = read_message(data)
+            message = decode_message(data)
             by_type[type(message)](message)
 
         self.simulation.handlers[number] = handle
@@ -336,7 +336,7 @@
         partitioned = begin <= self.clock.monotonic() < end and not is_local
         if partitioned or self.source.random() < self.settings.loss:
             return
-        data = write_message(message)
+        data = encode_message(message)
         delay = LOCAL_DELAY_SECONDS if is_local else REMOTE_DELAY_SECONDS
         self.schedule(delay, lambda: self.handlers[other](data))
 
