--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -83,7 +83,7 @@
         parts = (PromptPart('aa', 2520), PromptPart(f'{number:x}', 3780))
         generation = Generation('m', 9190, 10, parts)
         choose_engine(
-            self.directory.list_fit('s'),
+            self.directory.list_available('s'),
             generation,
             'shared',
             self.parts,
--- a/src/lifttrestle/internal/fleet/crashes/loss_watch.py
+++ b/src/lifttrestle/internal/fleet/crashes/loss_watch.py
@@ -157,7 +157,7 @@
             return
         loss.digests.add(digest)
         # Schedules a probe of the upstream.
-        upstream.reach.note_lost()
+        upstream.reach.note_connection_lost()
         if loss.state in CRASHED_STATES:
             self.on_crashed(digest, upstream.digest)
 
--- a/src/lifttrestle/internal/fleet/loads/load_tracking.py
+++ b/src/lifttrestle/internal/fleet/loads/load_tracking.py
@@ -132,7 +132,7 @@
         upstream = load.upstream
         return (
             upstream.weights.get(self._model, 0) >= load.order.version
-            or upstream.reach.unreached
+            or upstream.reach.unreachable
             or self._directory.get_start(upstream.start) is None
             or now - load.ordered_at > LOAD_LIMIT_SECONDS
         )
--- a/src/lifttrestle/internal/fleet/loads/weights_loader.py
+++ b/src/lifttrestle/internal/fleet/loads/weights_loader.py
@@ -191,11 +191,11 @@
                 break
             if upstream.start in loads:
                 continue
-            if upstream.is_doubtful(self._clock.monotonic()):
+            if upstream.seems_down(self._clock.monotonic()):
                 continue
             state = await loads.read_state(upstream)
             if state is None:
-                upstream.reach.note_unreached()
+                upstream.reach.note_unreachable()
                 continue
             known = upstream.weights.get(model, 0)
             if known < version and not state.loading:
--- a/src/lifttrestle/internal/fleet/path/attempt.py
+++ b/src/lifttrestle/internal/fleet/path/attempt.py
@@ -120,8 +120,8 @@
         return await read()
     began = clock.monotonic()
     while True:
-        silent = clock.monotonic() - max(upstream.heard_at, began)
-        gone = upstream.reach.unreached and silent >= SILENT_SECONDS
+        silent = clock.monotonic() - max(upstream.last_received_at, began)
+        gone = upstream.reach.unreachable and silent >= SILENT_SECONDS
         if (gone or silent >= patience) and may_leave():
             raise UpstreamLost(
                 f'{upstream.instance} sent nothing for {silent:.2f} s'
--- a/src/lifttrestle/internal/fleet/path/candidates.py
+++ b/src/lifttrestle/internal/fleet/path/candidates.py
@@ -63,7 +63,7 @@
         fit = [
             upstream
             for upstream in self.list_fit(admitted, service)
-            if not upstream.reach.unreached
+            if not upstream.reach.unreachable
         ]
         fit = self._select_open(fit, get_urgency(admitted), repeated)
         generation = self._facts.generation
@@ -129,7 +129,7 @@
         cap = max(cap // parts.roster.live, 1)
         found = [
             upstream
-            for upstream in parts.directory.list_fit(service)
+            for upstream in parts.directory.list_available(service)
             if self._tried.get(upstream.start, now) <= now
             and upstream.in_flight < cap
         ]
@@ -148,7 +148,7 @@
         """Return whether a sound upstream is left to go on."""
         now = self._parts.clock.monotonic()
         return any(
-            not upstream.is_doubtful(now)
+            not upstream.seems_down(now)
             for upstream in self.list_fit(admitted, service)
         )
 
@@ -163,7 +163,7 @@
     def _list_left(self, service: str) -> list[FleetUpstream]:
         return [
             upstream
-            for upstream in self._parts.directory.list_fit(service)
+            for upstream in self._parts.directory.list_available(service)
             if self._tried.get(upstream.start) != FOR_EVER
-            and not upstream.reach.unreached
+            and not upstream.reach.unreachable
         ]
--- a/src/lifttrestle/internal/fleet/path/exchange.py
+++ b/src/lifttrestle/internal/fleet/path/exchange.py
@@ -161,7 +161,7 @@
                 self._facts,
                 self._parts.operator_watch.get_age(),
                 request.get_left(),
-                self._parts.shutdown.get_left(),
+                self._parts.shutdown.get_remaining_seconds(),
             ),
             digest=format_digest(request.digest),
         )
@@ -253,7 +253,7 @@
             if upstream.misdirected:
                 losses.note_evidence(upstream.start, StartEvidence.REPLACED)
         elif isinstance(error, UpstreamConnectFailed):
-            upstream.reach.note_unreached()
+            upstream.reach.note_unreachable()
             losses.note_probed(upstream.start, False, error.refused)
         else:
             upstream.breaker.note_failure(now)
--- a/src/lifttrestle/internal/fleet/path/order_building.py
+++ b/src/lifttrestle/internal/fleet/path/order_building.py
@@ -61,6 +61,6 @@
             store = request.parts.stores.get(kept)
             # To ask for what can't be had costs an engine some hundred
             # milliseconds a request.
-            address = '' if store.reach.unreached else store.address
+            address = '' if store.reach.unreachable else store.address
     salt = build_salt(get_cache_scope(admitted), generation.model, weights)
     return request.parts.sources.choose(salt, generation, address)
--- a/src/lifttrestle/internal/fleet/path/request_context.py
+++ b/src/lifttrestle/internal/fleet/path/request_context.py
@@ -196,7 +196,7 @@
         if self.progress.state is RequestState.FIRST_BYTE:
             return
         limit = self.get_left()
-        left = shutdown.get_serving_left()
+        left = shutdown.get_serving_seconds()
         if can_finish_in_time(limit, left):
             return
         raise RequestRefused(
--- a/src/lifttrestle/internal/fleet/path/sending.py
+++ b/src/lifttrestle/internal/fleet/path/sending.py
@@ -127,7 +127,7 @@
         request = self._request
         heard_at = self._parts.clock.monotonic()
         seconds = heard_at - sent_at
-        chosen.upstream.note_heard(ticket, heard_at)
+        chosen.upstream.note_first_byte(ticket, heard_at)
         self._tell_load(chosen)
         self._parts.metrics.time_first_byte(
             request.service, seconds, chosen.expected_seconds
--- a/src/lifttrestle/internal/fleet/policy/cache_sources.py
+++ b/src/lifttrestle/internal/fleet/policy/cache_sources.py
@@ -61,6 +61,6 @@
     def note_served(self, use: CacheUse, generation: Generation) -> None:
         """Record the store write of an engine that began to answer."""
         if use.target:
-            self.shared.note_read(
+            self.shared.note_computed(
                 use.salt, generation.shared, self._clock.monotonic()
             )
--- a/src/lifttrestle/internal/fleet/policy/load_pacing.py
+++ b/src/lifttrestle/internal/fleet/policy/load_pacing.py
@@ -84,7 +84,7 @@
     Engines that may be unreachable already reduce the capacity and count
     as loading.
     """
-    absent = [engine for engine in engines if engine.is_doubtful(now)]
+    absent = [engine for engine in engines if engine.seems_down(now)]
     allowed = math.floor(LOADING_SHARE * len(engines)) - len(absent)
     return max(allowed, 1)
 
--- a/src/lifttrestle/internal/fleet/policy/placement.py
+++ b/src/lifttrestle/internal/fleet/policy/placement.py
@@ -202,4 +202,4 @@
 
 
 def _is_healthy(upstream: FleetUpstream, now: float) -> bool:
-    return upstream.breaker.allows(now) and not upstream.is_doubtful(now)
+    return upstream.breaker.allows(now) and not upstream.seems_down(now)
--- a/src/lifttrestle/internal/fleet/process.py
+++ b/src/lifttrestle/internal/fleet/process.py
@@ -184,7 +184,7 @@
         control.note_limit = self.limits.note_answer
         losses = self.crashes.losses
         losses.is_list_current = self._is_list_current
-        self._directory.tell_ended = self._note_ended
+        self._directory.on_ended = self._note_ended
         self._usage = UsageLedger(clock, settings.promises, self._get_caps)
         self._parts = FleetParts(
             settings=settings,
@@ -425,7 +425,7 @@
             data_centre=settings.data_centre,
         )
         prober = ReachProber(self._directory, self.stores, self._clock)
-        prober.tell_probed = self.crashes.losses.note_probed
+        prober.on_probed = self.crashes.losses.note_probed
         self._control.begin(
             self.relays.run(self.beat),
             self._operator_watch.run(),
--- a/src/lifttrestle/internal/fleet/state/cache_stores.py
+++ b/src/lifttrestle/internal/fleet/state/cache_stores.py
@@ -20,7 +20,7 @@
 
 from lifttrestle.internal.clock.clock import Clock
 from lifttrestle.internal.fleet.state.catalogue import CacheStoreFacts
-from lifttrestle.internal.fleet.state.reach import Reach
+from lifttrestle.internal.fleet.state.reach import Reachability
 from lifttrestle.internal.http.address import check_address
 from lifttrestle.internal.http.client_pool import ClientPool
 
@@ -38,7 +38,7 @@
     address: str
     data_centre: str
     pool: ClientPool
-    reach: Reach = dataclasses.field(default_factory=Reach)
+    reach: Reachability = dataclasses.field(default_factory=Reachability)
 
 
 class CacheStores:
--- a/src/lifttrestle/internal/fleet/state/decoding.py
+++ b/src/lifttrestle/internal/fleet/state/decoding.py
@@ -15,7 +15,7 @@
 import abc
 
 from lifttrestle.internal.fleet.state.catalogue import Catalogue
-from lifttrestle.internal.fleet.state.upstream_entry import NamedWeights
+from lifttrestle.internal.fleet.state.upstream_entry import TargetWeights
 from lifttrestle.internal.fleet.state.upstream_entry import UpstreamEntry
 
 
@@ -36,7 +36,7 @@
         """Return the configuration, or None for a row that holds none."""
 
     @abc.abstractmethod
-    def read_weights(self, key: str, value: bytes) -> NamedWeights | None:
+    def read_weights(self, key: str, value: bytes) -> TargetWeights | None:
         """Return the named weights, or None for a row that names none."""
 
     @abc.abstractmethod
--- a/src/lifttrestle/internal/fleet/state/directory.py
+++ b/src/lifttrestle/internal/fleet/state/directory.py
@@ -40,7 +40,7 @@
 CONNECT_SECONDS = 0.1
 # While the store was away, entries lapse of upstreams that live. Those are
 # back within two seconds; such an upstream is used on for a little less.
-RETURN_SECONDS = 1.8
+OUTAGE_GRACE_SECONDS = 1.8
 # A name goes into a header: other characters would end or spoil it.
 INSTANCE = re.compile(r'[!-~]{1,200}')
 
@@ -70,9 +70,7 @@
         # Set from outside: when the list was last read after an outage.
         self.outage_until = float('-inf')
         # Set from outside: is told how a start of an upstream ended.
-        self.tell_ended: Callable[[FleetUpstream, StartEnd], None] = (
-            _tell_nobody
-        )
+        self.on_ended: Callable[[FleetUpstream, StartEnd], None] = _tell_nobody
 
     def __iter__(self) -> Iterator[FleetUpstream]:
         """Iterate over the upstreams that may be used."""
@@ -203,7 +201,7 @@
         if known is not None:
             self._forget(known, StartEnd.WITHDRAWN)
 
-    def list_fit(self, service: str) -> list[FleetUpstream]:
+    def list_available(self, service: str) -> list[FleetUpstream]:
         """Return the upstreams of a service that may get new work."""
         self._forget_lapsed()
         return [
@@ -231,7 +229,9 @@
     def _may_return(self, upstream: FleetUpstream) -> bool:
         if upstream.entry.draining:
             return False
-        return self._clock.monotonic() < self.outage_until + RETURN_SECONDS
+        return (
+            self._clock.monotonic() < self.outage_until + OUTAGE_GRACE_SECONDS
+        )
 
     def _forget_lapsed(self) -> None:
         lapsed = [
@@ -252,7 +252,7 @@
         LOG.info(
             'upstream.gone', instance=upstream.instance, end=end.name.lower()
         )
-        self.tell_ended(upstream, end)
+        self.on_ended(upstream, end)
 
 
 def _find_end(upstream: FleetUpstream) -> StartEnd:
--- a/src/lifttrestle/internal/fleet/state/peer_loads.py
+++ b/src/lifttrestle/internal/fleet/state/peer_loads.py
@@ -123,7 +123,7 @@
         if not report.summed:
             self.note(report)
             return
-        self._parts.note_told(report.parts, self._clock.monotonic())
+        self._parts.note_reported(report.parts, self._clock.monotonic())
         self._aggregator.take_report(report, self._clock.monotonic())
         self._usage_telling.handle_member_report(
             report.vm, f'{ROUTER_PREFIX}{report.vm}', report.usage
@@ -154,7 +154,7 @@
     def _take_fleet_sum(self, whole: FleetSum) -> None:
         """Believe the sum of the router that this one tells its loads."""
         now = self._clock.monotonic()
-        self._parts.note_told(whole.parts, now)
+        self._parts.note_reported(whole.parts, now)
         if self._choice.note_heard(f'{ROUTER_PREFIX}{whole.vm}'):
             own = self._own_reports.get(whole.included, [])
             rest = take_off(whole.loads, own)
@@ -169,7 +169,7 @@
 
     def note(self, report: LoadReport) -> None:
         """Believe a router's report, unless a newer one overtook it."""
-        self._parts.note_told(report.parts, self._clock.monotonic())
+        self._parts.note_reported(report.parts, self._clock.monotonic())
         self._ledger.believe(report.vm, report.number, report.loads)
         self._usage_telling.handle_report(
             report.vm, f'{ROUTER_PREFIX}{report.vm}', report.usage
@@ -291,7 +291,7 @@
             for upstream in self._directory
             if upstream.in_flight
         ]
-        parts = self._parts.take_news()
+        parts = self._parts.pop_updates()
         self._usage_roles.update(self._choice.choose())
         if uses_aggregation(self._roster.live):
             self._tell_aggregator(loads, parts, asks=asks)
--- a/src/lifttrestle/internal/fleet/state/reach.py
+++ b/src/lifttrestle/internal/fleet/state/reach.py
@@ -25,7 +25,7 @@
 
 
 @dataclasses.dataclass
-class Reach:
+class Reachability:
     """What is known of one address.
 
     It is believed to be reachable until a connection fails, and then not
@@ -39,25 +39,25 @@
     :ivar reached_at: when it last took a connection, or answered.
     """
 
-    unreached: bool = False
+    unreachable: bool = False
     suspected: bool = False
     lost: bool = False
     probed_at: float = NEVER
     reached_at: float = NEVER
 
-    def note_reached(self, now: float) -> None:
+    def note_reachable(self, now: float) -> None:
         """Note that it took a connection, or answered."""
-        self.unreached = False
+        self.unreachable = False
         self.suspected = False
         self.lost = False
         self.reached_at = now
 
-    def note_unreached(self) -> None:
+    def note_unreachable(self) -> None:
         """Note that it took no connection."""
-        self.unreached = True
+        self.unreachable = True
         self.lost = False
 
-    def note_lost(self) -> None:
+    def note_connection_lost(self) -> None:
         """Note that it broke an answer off; it is probed at once."""
         self.lost = True
 
@@ -71,7 +71,7 @@
         :param silent: it owes answers and sends nothing.
         """
         since = now - self.probed_at
-        if self.unreached or silent or self.lost:
+        if self.unreachable or silent or self.lost:
             return since >= PROBE_SECONDS
         known_since = now - self.reached_at
         return self.suspected and min(since, known_since) >= SUSPECT_SECONDS
--- a/src/lifttrestle/internal/fleet/state/reach_probing.py
+++ b/src/lifttrestle/internal/fleet/state/reach_probing.py
@@ -28,7 +28,7 @@
 from lifttrestle.internal.fleet.state.cache_stores import CacheStore
 from lifttrestle.internal.fleet.state.cache_stores import CacheStores
 from lifttrestle.internal.fleet.state.directory import UpstreamDirectory
-from lifttrestle.internal.fleet.state.reach import Reach
+from lifttrestle.internal.fleet.state.reach import Reachability
 from lifttrestle.internal.fleet.state.upstream import FleetUpstream
 from lifttrestle.internal.fleet.state.upstream import SILENT_SECONDS
 from lifttrestle.internal.http.client_pool import ClientPool
@@ -61,7 +61,7 @@
         self._probes: dict[str, asyncio.Task[None]] = {}
         # Set from outside: is told of each probe whether it was taken, and
         # if it was not, whether nothing listens there.
-        self.tell_probed: Callable[[str, bool, bool], None] = _tell_nobody
+        self.on_probed: Callable[[str, bool, bool], None] = _tell_nobody
 
     async def run(self, beat: Beat) -> None:
         """Probe what is in doubt, for ever."""
@@ -89,7 +89,7 @@
             if store.reach.is_due(now):
                 self._begin(store.address, store.reach, store.pool)
 
-    def _begin(self, name: str, reach: Reach, pool: ClientPool) -> None:
+    def _begin(self, name: str, reach: Reachability, pool: ClientPool) -> None:
         if name in self._probes or len(self._probes) >= MAX_PROBES:
             return
         reach.probed_at = self._clock.monotonic()
@@ -97,20 +97,22 @@
         self._probes[name] = probe
         probe.add_done_callback(lambda _: self._probes.pop(name, None))
 
-    async def _probe(self, name: str, reach: Reach, pool: ClientPool) -> None:
-        before = reach.unreached
+    async def _probe(
+        self, name: str, reach: Reachability, pool: ClientPool
+    ) -> None:
+        before = reach.unreachable
         try:
             connection = await pool.take(fresh=True)
         except UpstreamConnectFailed as error:
-            reach.note_unreached()
-            self.tell_probed(name, False, error.refused)
+            reach.note_unreachable()
+            self.on_probed(name, False, error.refused)
             if not before:
                 LOG.info('reach.lost', target=name, reason=str(error))
             return
         # The next request there has use for it.
         pool.give_back(connection)
-        reach.note_reached(self._clock.monotonic())
-        self.tell_probed(name, True, False)
+        reach.note_reachable(self._clock.monotonic())
+        self.on_probed(name, True, False)
         if before:
             LOG.info('reach.regained', target=name)
 
@@ -126,11 +128,11 @@
 ) -> None:
     """Suspect what is in a data centre that may be cut off."""
     listed = list(upstreams)
-    if not any(item.reach.unreached for item in listed):
+    if not any(item.reach.unreachable for item in listed):
         return
     present = collections.Counter(item.entry.data_centre for item in listed)
     absent = collections.Counter(
-        item.entry.data_centre for item in listed if item.reach.unreached
+        item.entry.data_centre for item in listed if item.reach.unreachable
     )
     lost = {
         name
@@ -138,7 +140,7 @@
         if count >= LOST_SHARE * present[name]
     }
     for upstream in listed:
-        heard = now - upstream.heard_at < SILENT_SECONDS
+        heard = now - upstream.last_received_at < SILENT_SECONDS
         if upstream.entry.data_centre in lost and not heard:
             upstream.reach.suspect()
     for store in stores:
--- a/src/lifttrestle/internal/fleet/state/shared_parts.py
+++ b/src/lifttrestle/internal/fleet/state/shared_parts.py
@@ -26,7 +26,7 @@
 # Some hundred bytes each; several times what engines and store hold.
 MAX_PARTS = 20_000
 # Told to the others in one report; the rest goes with the next one.
-MAX_NEWS = 200
+MAX_UPDATES = 200
 DIGEST_BYTES = 8
 NEVER = float('-inf')
 
@@ -35,54 +35,54 @@
     """Remembers by salt when a shared part was last sent to the store."""
 
     def __init__(self) -> None:
-        self._read_at: collections.OrderedDict[int, float] = (
+        self._computed_at: collections.OrderedDict[int, float] = (
             collections.OrderedDict()
         )
-        self._news: collections.deque[int] = collections.deque(
+        self._unreported: collections.deque[int] = collections.deque(
             maxlen=MAX_PARTS
         )
 
-    def note_read(
+    def note_computed(
         self, salt: str, parts: tuple[PromptPart, ...], now: float
     ) -> None:
         """Note parts that an engine has read and sent to the store."""
         for part in parts:
             key = _make_key(salt, part)
             self._remember(key, now)
-            self._news.append(key)
+            self._unreported.append(key)
 
-    def note_told(self, keys: list[int], now: float) -> None:
+    def note_reported(self, keys: list[int], now: float) -> None:
         """Note what another router has told."""
         for key in keys:
             self._remember(key, now)
 
-    def take_news(self) -> list[int]:
+    def pop_updates(self) -> list[int]:
         """Return what the others have not been told yet."""
-        count = min(len(self._news), MAX_NEWS)
-        return [self._news.popleft() for _ in range(count)]
+        count = min(len(self._unreported), MAX_UPDATES)
+        return [self._unreported.popleft() for _ in range(count)]
 
     def get_age(self, salt: str, part: PromptPart, now: float) -> float:
         """Return the seconds since a part was read, infinite if never."""
-        return now - self._read_at.get(_make_key(salt, part), NEVER)
+        return now - self._computed_at.get(_make_key(salt, part), NEVER)
 
     def count_unknown(self, salt: str, parts: tuple[PromptPart, ...]) -> int:
         """Return the tokens of the parts that no engine is known to have."""
         return sum(
             part.tokens
             for part in parts
-            if _make_key(salt, part) not in self._read_at
+            if _make_key(salt, part) not in self._computed_at
         )
 
     def _remember(self, key: int, now: float) -> None:
-        self._read_at[key] = now
-        self._read_at.move_to_end(key)
-        if len(self._read_at) > MAX_PARTS:
-            self._read_at.popitem(last=False)
+        self._computed_at[key] = now
+        self._computed_at.move_to_end(key)
+        if len(self._computed_at) > MAX_PARTS:
+            self._computed_at.popitem(last=False)
 
 
-def build_salt(wall: str, model: str, weights: int) -> str:
+def build_salt(cache_scope: str, model: str, weights: int) -> str:
     """Return the text under which requests may share cached context."""
-    return f'{wall}/{model}/{weights}'
+    return f'{cache_scope}/{model}/{weights}'
 
 
 def _make_key(salt: str, part: PromptPart) -> int:
--- a/src/lifttrestle/internal/fleet/state/shutdown.py
+++ b/src/lifttrestle/internal/fleet/state/shutdown.py
@@ -53,23 +53,23 @@
             self._began = self._clock.monotonic()
             self._seconds = seconds
 
-    def get_passed(self) -> float:
+    def get_elapsed_seconds(self) -> float:
         """Return the seconds since the order; zero before it."""
         if self._began is None:
             return 0.0
         return self._clock.monotonic() - self._began
 
-    def get_left(self) -> float:
+    def get_remaining_seconds(self) -> float:
         """Return the seconds that are left; for ever before the order."""
         if self._began is None:
             return float('inf')
-        return max(self._seconds - self.get_passed(), 0.0)
+        return max(self._seconds - self.get_elapsed_seconds(), 0.0)
 
-    def get_serving_left(self) -> float:
+    def get_serving_seconds(self) -> float:
         """Return the seconds within which a request has to have ended."""
         return self._get_left_but(END_SHARE)
 
-    def get_cut_left(self) -> float:
+    def get_abort_seconds(self) -> float:
         """Return the seconds until what still runs is cut."""
         return self._get_left_but(CUT_SHARE)
 
@@ -82,10 +82,10 @@
         return self._get_left_but(EXIT_SHARE)
 
     def _get_left_but(self, share: float) -> float:
-        return max(self.get_left() - self._seconds * share, 0.0)
+        return max(self.get_remaining_seconds() - self._seconds * share, 0.0)
 
-    async def end_in_time(self) -> None:
+    async def signal_ending(self) -> None:
         """Have requests without an answer end when their time is over."""
-        await self._clock.sleep(self.get_serving_left())
+        await self._clock.sleep(self.get_serving_seconds())
         if not self.ending.done():
             self.ending.set_result(None)
--- a/src/lifttrestle/internal/fleet/state/upstream.py
+++ b/src/lifttrestle/internal/fleet/state/upstream.py
@@ -14,7 +14,7 @@
 
 import dataclasses
 
-from lifttrestle.internal.fleet.state.reach import Reach
+from lifttrestle.internal.fleet.state.reach import Reachability
 from lifttrestle.internal.fleet.state.upstream_entry import build_digest
 from lifttrestle.internal.fleet.state.upstream_entry import UpstreamEntry
 from lifttrestle.internal.http.client_pool import ClientPool
@@ -36,7 +36,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class OwedAnswer:
+class PendingAnswer:
     """A request that was sent and has no answer yet.
 
     :ivar urgency: 0 is first; upstreams take more urgent ones out of turn.
@@ -77,9 +77,9 @@
     peers_in_flight: int = 0
     peers_unread: int = 0
     first_byte_seconds: float = 0.0
-    heard_at: float = 0.0
-    reach: Reach = dataclasses.field(default_factory=Reach)
-    owed: dict[int, OwedAnswer] = dataclasses.field(default_factory=dict)
+    last_received_at: float = 0.0
+    reach: Reachability = dataclasses.field(default_factory=Reachability)
+    pending: dict[int, PendingAnswer] = dataclasses.field(default_factory=dict)
     digest: int = 0
 
     def __post_init__(self) -> None:
@@ -120,30 +120,30 @@
     @property
     def unread_tokens(self) -> int:
         """Return the tokens that it has yet to read for this router."""
-        return sum(owed.unread_tokens for owed in self.owed.values())
+        return sum(pending.unread_tokens for pending in self.pending.values())
 
     def note_sent(
         self, ticket: int, now: float, urgency: int = 0, unread: int = 0
     ) -> None:
         """Note that an answer is owed, after ``unread`` tokens are read."""
-        self.owed[ticket] = OwedAnswer(now, urgency, unread)
+        self.pending[ticket] = PendingAnswer(now, urgency, unread)
         self.breaker.note_sent(now)
 
-    def note_heard(self, ticket: int, now: float) -> None:
+    def note_first_byte(self, ticket: int, now: float) -> None:
         """Note that an answer began."""
-        owed = self.owed.pop(ticket, OwedAnswer(now, 0))
+        pending = self.pending.pop(ticket, PendingAnswer(now, 0))
         self.note_alive(now)
-        change = (now - owed.sent_at) - self.first_byte_seconds
+        change = (now - pending.sent_at) - self.first_byte_seconds
         self.first_byte_seconds += AVERAGE_SHARE * change
 
     def note_alive(self, now: float) -> None:
         """Note that it has sent something."""
-        self.heard_at = now
-        self.reach.note_reached(now)
+        self.last_received_at = now
+        self.reach.note_reachable(now)
 
     def note_ended(self, ticket: int) -> None:
         """Forget an exchange that is over."""
-        self.owed.pop(ticket, None)
+        self.pending.pop(ticket, None)
 
     def get_oldest_wait(self, now: float, urgency: int) -> float:
         """Return how long an unanswered request has waited at the most.
@@ -151,19 +151,19 @@
         :param urgency: only requests that are as urgent count.
         """
         waits = [
-            now - owed.sent_at
-            for owed in self.owed.values()
-            if owed.urgency <= urgency
+            now - pending.sent_at
+            for pending in self.pending.values()
+            if pending.urgency <= urgency
         ]
         return max(waits, default=0.0)
 
-    def is_doubtful(self, now: float) -> bool:
+    def seems_down(self, now: float) -> bool:
         """Return whether there are signs that it is not there."""
-        return self.reach.unreached or self.is_silent(now)
+        return self.reach.unreachable or self.is_silent(now)
 
     def is_silent(self, now: float) -> bool:
         """Return whether it owes an answer and has been quiet too long."""
-        if not self.owed:
+        if not self.pending:
             return False
-        oldest = min(owed.sent_at for owed in self.owed.values())
-        return now - max(oldest, self.heard_at) > SILENT_SECONDS
+        oldest = min(pending.sent_at for pending in self.pending.values())
+        return now - max(oldest, self.last_received_at) > SILENT_SECONDS
--- a/src/lifttrestle/internal/fleet/state/upstream_entry.py
+++ b/src/lifttrestle/internal/fleet/state/upstream_entry.py
@@ -94,7 +94,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class NamedWeights:
+class TargetWeights:
     """The version of a model's weights that the operator wants in use."""
 
     model: str
--- a/src/lifttrestle/internal/fleet/stop_sequence.py
+++ b/src/lifttrestle/internal/fleet/stop_sequence.py
@@ -42,7 +42,7 @@
     shutdown.begin(grace)
     LOG.info('router.stopping', requests=callers.busy, grace_s=grace)
     callers.announce_stop()
-    ending = asyncio.create_task(shutdown.end_in_time())
+    ending = asyncio.create_task(shutdown.signal_ending())
     await parts.clock.sleep(min(NOTICE_SECONDS, grace * NOTICE_SHARE))
     LOG.info(
         'router.closing',
@@ -51,7 +51,7 @@
     )
     leaving = asyncio.create_task(_leave(parts.roster))
     whole = await callers.stop(
-        shutdown.get_cut_left(), shutdown.get_flush_seconds()
+        shutdown.get_abort_seconds(), shutdown.get_flush_seconds()
     )
     whole = whole and not shutdown.given_up
     await asyncio.wait({leaving}, timeout=shutdown.get_leave_seconds())
@@ -79,4 +79,4 @@
 
 
 def _get_passed_ms(shutdown: Shutdown) -> int:
-    return round(shutdown.get_passed() * MILLISECONDS)
+    return round(shutdown.get_elapsed_seconds() * MILLISECONDS)
--- a/src/lifttrestle/internal/platform/stored_format.py
+++ b/src/lifttrestle/internal/platform/stored_format.py
@@ -24,7 +24,7 @@
 from lifttrestle.internal.fleet.state.catalogue import ServiceShare
 from lifttrestle.internal.fleet.state.catalogue import Workspace
 from lifttrestle.internal.fleet.state.decoding import StoredFormat
-from lifttrestle.internal.fleet.state.upstream_entry import NamedWeights
+from lifttrestle.internal.fleet.state.upstream_entry import TargetWeights
 from lifttrestle.internal.fleet.state.upstream_entry import UpstreamEntry
 from lifttrestle.internal.intake.decoding import decode_json
 from lifttrestle.internal.platform import names
@@ -74,12 +74,12 @@
             faults=faults,
         )
 
-    def read_weights(self, key: str, value: bytes) -> NamedWeights | None:
+    def read_weights(self, key: str, value: bytes) -> TargetWeights | None:
         """Return the named weights, or None for a row that names none."""
         if not key.startswith(names.WEIGHTS_PREFIX):
             return None
         record = decode_json(value, WeightsRecord)
-        return NamedWeights(record.model, record.version)
+        return TargetWeights(record.model, record.version)
 
     def read_upstream(self, key: str, value: bytes) -> UpstreamEntry:
         """Return an upstream's entry."""
--- a/tests/cover/test_fleet_parts.py
+++ b/tests/cover/test_fleet_parts.py
@@ -22,7 +22,7 @@
 from lifttrestle.internal.fleet.path.event_relay import EventRelay
 from lifttrestle.internal.fleet.policy.retry_budget import SharedRetryBudget
 from lifttrestle.internal.fleet.settings import Promises
-from lifttrestle.internal.fleet.state.directory import RETURN_SECONDS
+from lifttrestle.internal.fleet.state.directory import OUTAGE_GRACE_SECONDS
 from lifttrestle.internal.fleet.state.upstream import SILENT_SECONDS
 from tests.support.directories import DirectoryCase
 from tests.support.directories import START
@@ -150,15 +150,15 @@
         self.put('c')
         self.put('a', state='draining')
         self.take('b', None)
-        self.assertEqual(self.list_fit(), ['c'])
+        self.assertEqual(self.list_available(), ['c'])
 
     def test_entry_that_lapsed_in_an_outage_is_used_until_it_had_time(self):
         self.put('a')
         self.directory.outage_until = self.clock.monotonic()
         self.take('a', None)
-        self.assertEqual(self.list_fit(), ['a'])
-        self.clock.advance(RETURN_SECONDS + 0.1)
-        self.assertEqual(self.list_fit(), [])
+        self.assertEqual(self.list_available(), ['a'])
+        self.clock.advance(OUTAGE_GRACE_SECONDS + 0.1)
+        self.assertEqual(self.list_available(), [])
 
     def test_entry_that_returns_after_an_outage_stays(self):
         self.put('a')
@@ -167,7 +167,7 @@
         self.clock.advance(1.0)
         self.put('a')
         self.clock.advance(60.0)
-        self.assertEqual(self.list_fit(), ['a'])
+        self.assertEqual(self.list_available(), ['a'])
 
     def test_weights_never_go_back(self):
         self.put('a', models=[3])
@@ -180,7 +180,7 @@
         upstream.note_sent(1, 10.0)
         self.assertFalse(upstream.is_silent(10.0 + 0.9 * SILENT_SECONDS))
         self.assertTrue(upstream.is_silent(10.0 + 1.1 * SILENT_SECONDS))
-        upstream.heard_at = 12.0
+        upstream.last_received_at = 12.0
         self.assertFalse(upstream.is_silent(12.0 + 0.9 * SILENT_SECONDS))
         self.assertTrue(upstream.is_silent(12.0 + 1.1 * SILENT_SECONDS))
         upstream.note_ended(1)
--- a/tests/cover/test_fleet_placement.py
+++ b/tests/cover/test_fleet_placement.py
@@ -45,7 +45,7 @@
 
     def place(self, wanted=1, slots=0):
         return choose_engine(
-            self.directory.list_fit('s'),
+            self.directory.list_available('s'),
             GENERATION,
             'shared',
             self.parts,
@@ -81,7 +81,7 @@
         # full engines while others had free slots (quiet-1 of the grown site
         # of sofia-chimes).
         salt = build_salt('shared', 'm', 1)
-        self.parts.note_read(salt, GENERATION.shared, 0.0)
+        self.parts.note_computed(salt, GENERATION.shared, 0.0)
         home = self.place().upstream
         home.peers_in_flight = 2
         self.assertIs(self.place(slots=64).upstream, home)
@@ -91,7 +91,7 @@
         home = self.choose()
         home.note_sent(1, 5.0, unread=20_000)
         self.assertIsNot(self.choose(), home)
-        home.note_heard(1, 5.0)
+        home.note_first_byte(1, 5.0)
         self.assertIs(self.choose(), home)
         home.peers_unread = 20_000
         self.assertIsNot(self.choose(), home)
@@ -99,7 +99,7 @@
     def test_part_that_was_read_is_not_read_again(self):
         uncached = self.place()
         salt = build_salt('shared', 'm', 1)
-        self.parts.note_read(salt, GENERATION.shared, 0.0)
+        self.parts.note_computed(salt, GENERATION.shared, 0.0)
         cached = self.place()
         self.assertEqual(uncached.unread_tokens, 4600)
         self.assertEqual(cached.unread_tokens, 600)
@@ -110,7 +110,7 @@
 
     def test_part_that_older_weights_read_counts_for_nothing(self):
         salt = build_salt('shared', 'm', 1)
-        self.parts.note_read(salt, GENERATION.shared, 0.0)
+        self.parts.note_computed(salt, GENERATION.shared, 0.0)
         for upstream in self.directory:
             upstream.note_weights('m', 2, 0.0)
         self.assertEqual(self.place(wanted=2).unread_tokens, 4600)
@@ -130,7 +130,7 @@
     def choose(self, *parts):
         tokens = sum(part.tokens for part in parts)
         return choose_engine(
-            self.directory.list_fit('s'),
+            self.directory.list_available('s'),
             Generation('m', tokens, 5, parts),
             'shared',
             SharedParts(),
@@ -160,7 +160,7 @@
     def test_plain_upstream_with_a_kept_connection_is_taken(self):
         for _ in range(9):
             placement = choose_plain(
-                self.directory.list_fit('s'),
+                self.directory.list_available('s'),
                 PlacementContext(5.0, 'a', 0),
                 random.Random(1),
             )
--- a/tests/cover/test_fleet_weights.py
+++ b/tests/cover/test_fleet_weights.py
@@ -645,6 +645,6 @@
         # One that crashed while it loaded counted as loading for four
         # seconds, and the others had to wait for it.
         self.loads.add(self.engine, self.order, answered=True)
-        self.engine.reach.note_unreached()
+        self.engine.reach.note_unreachable()
         self._follow(0.1)
         self.assertNotIn('e1', self.loads)
--- a/tests/cover/test_limit_memory.py
+++ b/tests/cover/test_limit_memory.py
@@ -124,7 +124,7 @@
                 born=known.entry.born + 1, address=known.entry.address
             )
             value = msgspec.json.encode(entry)
-            directory.tell_ended = self._make_forget(directory)
+            directory.on_ended = self._make_forget(directory)
             directory.take(VersionedRow('p0', value, 2))
         await self.play.pass_time(2.0)
         self.assertEqual(self.count_knowing(), 0)
--- a/tests/cover/test_load_sums.py
+++ b/tests/cover/test_load_sums.py
@@ -221,7 +221,7 @@
     def add_load(self, name, running, unread=0):
         upstream = self.fleet.routers[name].directory.get('e1')
         upstream.in_flight = running
-        upstream.owed.clear()
+        upstream.pending.clear()
         upstream.note_sent(1, 0.0, unread=unread)
 
     def test_every_router_knows_the_whole_load(self):
@@ -246,7 +246,7 @@
         self.fleet.turn()
         upstream = self.fleet.routers['r0'].directory.get('e1')
         upstream.in_flight = 0
-        upstream.owed.clear()
+        upstream.pending.clear()
         for _ in range(2):
             self.fleet.turn()
         self.assertEqual(self.fleet.get_seen('r7'), (0, 0))
@@ -284,12 +284,12 @@
     def test_parts_that_one_router_had_read_are_known_to_all(self):
         teller = self.fleet.routers['r0']
         teller.parts._remember(77, 0.0)
-        teller.parts._news.append(77)
+        teller.parts._unreported.append(77)
         for _ in range(2):
             self.fleet.turn()
         for name, router in self.fleet.routers.items():
             with self.subTest(router=name):
-                self.assertIn(77, router.parts._read_at)
+                self.assertIn(77, router.parts._computed_at)
 
     def test_nobody_hears_more_than_in_a_small_fleet(self):
         # Of 195 routers each heard 250 reports a second; each hears 10 sums,
--- a/tests/cover/test_loss_watch.py
+++ b/tests/cover/test_loss_watch.py
@@ -35,7 +35,7 @@
         self.watch.on_crash_retracted = lambda digest, _: self.sound.append(
             digest
         )
-        self.directory.tell_ended = self.watch.note_ended
+        self.directory.on_ended = self.watch.note_ended
         self.list('p1')
         self.upstream = self.directory.get('p1')
 
--- a/tests/cover/test_peer_loads.py
+++ b/tests/cover/test_peer_loads.py
@@ -33,7 +33,7 @@
 from lifttrestle.internal.fleet.state.roster import Roster
 from lifttrestle.internal.fleet.state.roster import RouterRow
 from lifttrestle.internal.fleet.state.rows import VersionedRow
-from lifttrestle.internal.fleet.state.shared_parts import MAX_NEWS
+from lifttrestle.internal.fleet.state.shared_parts import MAX_UPDATES
 from lifttrestle.internal.fleet.state.shared_parts import SharedParts
 from lifttrestle.internal.fleet.state.upstream_entry import build_digest
 from lifttrestle.internal.http.address import Address
@@ -153,21 +153,21 @@
     def test_parts_that_one_router_had_read_are_known_to_the_others(self):
         teller, hearer = Router('a'), Router('b')
         parts = (PromptPart('aa', 400),)
-        teller.parts.note_read('salt', parts, 0.0)
-        news = teller.parts.take_news()
+        teller.parts.note_computed('salt', parts, 0.0)
+        news = teller.parts.pop_updates()
         hearer.loads.note(LoadReport('a', 1, [], news))
         self.assertEqual(hearer.parts.count_unknown('salt', parts), 0)
         self.assertEqual(hearer.parts.count_unknown('other', parts), 400)
         # What was told goes no further, and is told once.
-        self.assertEqual(hearer.parts.take_news(), [])
-        self.assertEqual(teller.parts.take_news(), [])
+        self.assertEqual(hearer.parts.pop_updates(), [])
+        self.assertEqual(teller.parts.pop_updates(), [])
 
     def test_report_stays_small_whatever_was_read(self):
         parts = SharedParts()
         many = tuple(PromptPart(f'{number}', 1) for number in range(450))
-        parts.note_read('salt', many, 0.0)
-        sizes = [len(parts.take_news()) for _ in range(4)]
-        self.assertEqual(sizes, [MAX_NEWS, MAX_NEWS, 50, 0])
+        parts.note_computed('salt', many, 0.0)
+        sizes = [len(parts.pop_updates()) for _ in range(4)]
+        self.assertEqual(sizes, [MAX_UPDATES, MAX_UPDATES, 50, 0])
 
 
 class TestDatagrams(unittest.IsolatedAsyncioTestCase):
--- a/tests/cover/test_reach.py
+++ b/tests/cover/test_reach.py
@@ -21,7 +21,7 @@
 from lifttrestle.internal.fleet.state.cache_stores import CacheStores
 from lifttrestle.internal.fleet.state.catalogue import CacheStoreFacts
 from lifttrestle.internal.fleet.state.reach import PROBE_SECONDS
-from lifttrestle.internal.fleet.state.reach import Reach
+from lifttrestle.internal.fleet.state.reach import Reachability
 from lifttrestle.internal.fleet.state.reach import SUSPECT_SECONDS
 from lifttrestle.internal.fleet.state.reach_probing import ReachProber
 from lifttrestle.internal.fleet.state.upstream import FleetUpstream
@@ -55,19 +55,21 @@
 
 class TestDue(unittest.TestCase):
     def test_one_that_is_trusted_is_left_alone(self):
-        self.assertFalse(Reach().is_due(100.0))
+        self.assertFalse(Reachability().is_due(100.0))
 
     def test_one_that_failed_is_due_again_and_again(self):
-        reach = Reach(unreached=True, probed_at=10.0)
+        reach = Reachability(unreachable=True, probed_at=10.0)
         self.assertFalse(reach.is_due(10.0 + 0.9 * PROBE_SECONDS))
         self.assertTrue(reach.is_due(10.0 + PROBE_SECONDS))
 
     def test_one_that_owes_answers_is_due(self):
-        self.assertTrue(Reach(reached_at=10.0).is_due(10.1, silent=True))
+        self.assertTrue(
+            Reachability(reached_at=10.0).is_due(10.1, silent=True)
+        )
 
     def test_one_that_was_reached_is_suspected_in_vain_for_a_while(self):
-        reach = Reach()
-        reach.note_reached(10.0)
+        reach = Reachability()
+        reach.note_reachable(10.0)
         reach.suspect()
         self.assertFalse(reach.is_due(10.0 + 0.9 * SUSPECT_SECONDS))
         self.assertTrue(reach.is_due(10.0 + SUSPECT_SECONDS))
@@ -92,15 +94,15 @@
         # request was sent over a connection into the cut and lost.
         upstream = make_upstream('a', 'x', reachable=False)
         self.upstreams.append(upstream)
-        upstream.reach.note_unreached()
+        upstream.reach.note_unreachable()
         for _ in range(10):
             await self._look()
             now = self.clock.monotonic()
-            self.assertTrue(upstream.is_doubtful(now))
+            self.assertTrue(upstream.seems_down(now))
         self.assertEqual(upstream.pool.tries, 10)
         upstream.pool.reachable = True
         await self._look()
-        self.assertFalse(upstream.is_doubtful(self.clock.monotonic()))
+        self.assertFalse(upstream.seems_down(self.clock.monotonic()))
         self.assertEqual(upstream.pool.kept, 1)
 
     async def test_neighbours_of_one_that_is_lost_are_probed(self):
@@ -110,16 +112,16 @@
         heard = make_upstream('d', 'x')
         heard.note_alive(100.0)
         self.upstreams.extend((lost, near, far, heard))
-        lost.reach.note_unreached()
+        lost.reach.note_unreachable()
         await self._look(0.1)
-        self.assertTrue(near.reach.unreached)
+        self.assertTrue(near.reach.unreachable)
         self.assertEqual((far.pool.tries, heard.pool.tries), (0, 0))
 
     async def test_one_of_many_that_is_lost_makes_nobody_suspect(self):
         lost = make_upstream('a', 'x', reachable=False)
         others = [make_upstream(f'b{number}', 'x') for number in range(9)]
         self.upstreams.extend((lost, *others))
-        lost.reach.note_unreached()
+        lost.reach.note_unreachable()
         await self._look(0.1)
         self.assertEqual(sum(item.pool.tries for item in others), 0)
 
@@ -129,13 +131,13 @@
         store.pool = FakePool(reachable=False)
         self.upstreams.append(make_upstream('a', 'x', reachable=False))
         await self._look()
-        self.assertFalse(store.reach.unreached)
-        self.upstreams[0].reach.note_unreached()
+        self.assertFalse(store.reach.unreachable)
+        self.upstreams[0].reach.note_unreachable()
         await self._look()
-        self.assertTrue(store.reach.unreached)
+        self.assertTrue(store.reach.unreachable)
         store.pool.reachable = True
         await self._look()
-        self.assertFalse(store.reach.unreached)
+        self.assertFalse(store.reach.unreachable)
 
     async def test_silent_upstream_that_takes_connections_is_not_lost(self):
         upstream = make_upstream('a', 'x')
@@ -143,4 +145,4 @@
         self.upstreams.append(upstream)
         await self._look(0.6)
         self.assertEqual(upstream.pool.tries, 1)
-        self.assertFalse(upstream.reach.unreached)
+        self.assertFalse(upstream.reach.unreachable)
--- a/tests/cover/test_refused_input.py
+++ b/tests/cover/test_refused_input.py
@@ -176,7 +176,7 @@
     def test_service_that_is_not_configured_has_no_upstreams(self):
         self.take('new', make_entry(service='other'))
         self.assertEqual(self.list_names(), ['engine', 'sound'])
-        self.assertEqual(self.directory.list_fit('other'), [])
+        self.assertEqual(self.directory.list_available('other'), [])
 
     def test_engine_without_a_model_is_not_used(self):
         self.take('new', make_entry(service='engines'))
--- a/tests/cover/test_stopping.py
+++ b/tests/cover/test_stopping.py
@@ -33,22 +33,22 @@
     async def test_all_steps_share_one_deadline(self) -> None:
         clock = ManualClock(START)
         shutdown = Shutdown(clock)
-        self.assertEqual(shutdown.get_left(), float('inf'))
+        self.assertEqual(shutdown.get_remaining_seconds(), float('inf'))
         shutdown.begin(GRACE)
         clock.advance(3.0)
         # A second stop signal does not extend the deadline.
         shutdown.begin(GRACE)
-        self.assertEqual(shutdown.get_left(), 5.0)
+        self.assertEqual(shutdown.get_remaining_seconds(), 5.0)
         order = (
-            shutdown.get_serving_left(),
-            shutdown.get_cut_left(),
-            shutdown.get_cut_left() + shutdown.get_flush_seconds(),
-            shutdown.get_left(),
+            shutdown.get_serving_seconds(),
+            shutdown.get_abort_seconds(),
+            shutdown.get_abort_seconds() + shutdown.get_flush_seconds(),
+            shutdown.get_remaining_seconds(),
         )
         self.assertEqual(list(order), sorted(order))
         clock.advance(GRACE)
-        self.assertEqual(shutdown.get_left(), 0.0)
-        self.assertEqual(shutdown.get_cut_left(), 0.0)
+        self.assertEqual(shutdown.get_remaining_seconds(), 0.0)
+        self.assertEqual(shutdown.get_abort_seconds(), 0.0)
 
 
 if __name__ == '__main__':
--- a/tests/cover/test_upstream_life_model.py
+++ b/tests/cover/test_upstream_life_model.py
@@ -32,7 +32,7 @@
 from lifttrestle.internal.clock.manual import ManualClock
 from lifttrestle.internal.fleet.policy.engine_costs import PlacementContext
 from lifttrestle.internal.fleet.policy.placement import choose_plain
-from lifttrestle.internal.fleet.state.directory import RETURN_SECONDS
+from lifttrestle.internal.fleet.state.directory import OUTAGE_GRACE_SECONDS
 from lifttrestle.internal.fleet.state.directory import UpstreamDirectory
 from lifttrestle.internal.fleet.state.rows import VersionedRow
 from lifttrestle.internal.platform.stored_format import PlatformFormat
@@ -131,22 +131,22 @@
             upstream.breaker.note_success()
         self.failures[name] = 0
 
-    def list_fit(self):
-        return {item.instance for item in self.directory.list_fit('s')}
+    def list_available(self):
+        return {item.instance for item in self.directory.list_available('s')}
 
     @stateful.invariant()
     def only_those_that_may_have_work_get_it(self):
         now = self.clock.monotonic()
-        for name in self.list_fit():
+        for name in self.list_available():
             assert self.listed[name] == 'ready', name
             assert name not in self.misdirected, name
             if name in self.removed_at:
                 since = now - self.outage_ended
-                assert since <= RETURN_SECONDS, (name, since)
+                assert since <= OUTAGE_GRACE_SECONDS, (name, since)
 
     @stateful.invariant()
     def those_that_are_listed_get_work(self):
-        fit = self.list_fit()
+        fit = self.list_available()
         for name, state in self.listed.items():
             present = name not in self.removed_at
             if present and state == 'ready' and name not in self.misdirected:
@@ -154,7 +154,7 @@
 
     @stateful.invariant()
     def sound_ones_go_before_those_that_fail(self):
-        fit = self.directory.list_fit('s')
+        fit = self.directory.list_available('s')
         sound = [item for item in fit if not self.failures[item.instance]]
         around = PlacementContext(self.clock.monotonic(), 'a', 0)
         placement = choose_plain(fit, around, NoChance())
@@ -175,7 +175,7 @@
 class HastyDirectory(UpstreamDirectory):
     """Planted fault: a draining entry is read like any other."""
 
-    def list_fit(self, service):
+    def list_available(self, service):
         self._forget_lapsed()
         return [item for item in self if not item.misdirected]
 
--- a/tests/cover/test_upstream_starts.py
+++ b/tests/cover/test_upstream_starts.py
@@ -69,31 +69,31 @@
         old.note_weights('m', 7, now)
         old.note_sent(1, now, unread=4000)
         old.breaker.note_failure(now)
-        old.reach.note_unreached()
+        old.reach.note_unreachable()
         old.in_flight = old.peers_in_flight = old.peers_unread = 3
         old.misdirected = True
         old.busy_until = now + 9
         new = self.list_start(SECOND, weights=2)
         self.assertIsNot(new, old)
         self.assertEqual(new.weights, {'m': 2})
-        self.assertEqual((new.in_flight, new.owed), (0, {}))
+        self.assertEqual((new.in_flight, new.pending), (0, {}))
         self.assertEqual((new.peers_in_flight, new.peers_unread), (0, 0))
-        self.assertFalse(new.reach.unreached or new.misdirected)
+        self.assertFalse(new.reach.unreachable or new.misdirected)
         self.assertEqual(new.busy_until, 0.0)
         self.assertIsNot(new.pool, old.pool)
         self.assertIsNone(self.directory.get_start(old.start))
 
     def test_new_start_of_one_that_was_leaving_is_used(self):
         self.list_start(state='draining')
-        self.assertEqual(self.list_fit(), [])
+        self.assertEqual(self.list_available(), [])
         self.list_start(SECOND)
-        self.assertEqual(self.list_fit(), ['e1'])
+        self.assertEqual(self.list_available(), ['e1'])
 
     def test_late_entry_of_an_older_start_is_not_believed(self):
         new = self.list_start(SECOND, weights=3)
         self.list_start(FIRST, state='draining')
         self.assertIs(self.directory.get('e1'), new)
-        self.assertEqual(self.list_fit(), ['e1'])
+        self.assertEqual(self.list_available(), ['e1'])
 
     def test_same_start_keeps_what_was_learned(self):
         old = self.list_start()
--- a/tests/nocover/test_crashing_requests.py
+++ b/tests/nocover/test_crashing_requests.py
@@ -371,7 +371,7 @@
                 answers += await asyncio.gather(*calls)
                 await wait_until(
                     lambda: all(
-                        len(fleet.router.directory.list_fit('plain'))
+                        len(fleet.router.directory.list_available('plain'))
                         == UPSTREAMS
                         for fleet in fleets
                     )
--- a/tests/nocover/test_fleet_exchange.py
+++ b/tests/nocover/test_fleet_exchange.py
@@ -237,7 +237,7 @@
                 await fleet.upstreams[name].stop()
             answer = await fleet.call('/safe/a', request_id='r2')
             (store,) = fleet.router.stores
-            await wait_until(lambda: store.reach.unreached)
+            await wait_until(lambda: store.reach.unreachable)
             await fleet.generate('text', request_id='r3')
             second = next(
                 run
@@ -254,7 +254,7 @@
         # Each of four upstreams behind a cut was tried in turn, 0.3 s each.
         async with run_fleet() as fleet:
             for upstream in fleet.router.directory:
-                upstream.reach.note_unreached()
+                upstream.reach.note_unreachable()
                 # No probe is to find out otherwise meanwhile.
                 upstream.reach.probed_at = float('inf')
             answer = await fleet.call('/once/a', method='POST')
--- a/tests/support/directories.py
+++ b/tests/support/directories.py
@@ -46,5 +46,7 @@
         self.commit += 1
         self.directory.take(VersionedRow(instance, value, self.commit))
 
-    def list_fit(self, service='s'):
-        return [item.instance for item in self.directory.list_fit(service)]
+    def list_available(self, service='s'):
+        return [
+            item.instance for item in self.directory.list_available(service)
+        ]
--- a/tests/support/played_load.py
+++ b/tests/support/played_load.py
@@ -328,7 +328,7 @@
         def answer() -> None:
             seconds = self._clock.monotonic() - now
             upstream.in_flight -= 1
-            upstream.note_heard(ticket, self._clock.monotonic())
+            upstream.note_first_byte(ticket, self._clock.monotonic())
             if load.learns:
                 router.pace.note_answer(
                     placement.queue_tokens, tokens, seconds
