--- a/src/lifttrestle/internal/fleet/state/cache_stores.py
+++ b/src/lifttrestle/internal/fleet/state/cache_stores.py
@@ -10,9 +10,10 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""The stores of cached context that engines read from and write to.
+"""The cache stores that engines read prefixes from and write them to.
 
-Engines call them; this router only finds out whether they can be reached.
+Only engines use their contents; a router only checks whether they are
+reachable.
 """
 
 from collections.abc import Iterator
@@ -24,15 +25,15 @@
 from lifttrestle.internal.http.address import check_address
 from lifttrestle.internal.http.client_pool import ClientPool
 
-# As for an upstream.
+# The same as for an upstream.
 CONNECT_SECONDS = 0.1
 
 
 @dataclasses.dataclass
 class CacheStore:
-    """One store.
+    """One cache store.
 
-    :ivar pool: connects to it, only to see that it is there.
+    :ivar pool: connections to it, used only to probe it.
     """
 
     address: str
@@ -42,18 +43,18 @@
 
 
 class CacheStores:
-    """The stores that requests have named so far, by address."""
+    """The cache stores that requests have used so far, by address."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._stores: dict[str, CacheStore] = {}
 
     def __iter__(self) -> Iterator[CacheStore]:
-        """Iterate over the stores as of now."""
+        """Iterate over a snapshot of the stores."""
         return iter(tuple(self._stores.values()))
 
     def get(self, facts: CacheStoreFacts) -> CacheStore:
-        """Return the store that a configuration tells of."""
+        """Return the store with this configuration, created if absent."""
         store = self._stores.get(facts.address)
         if store is None:
             pool = ClientPool(
@@ -64,12 +65,12 @@
         return store
 
     def suspect(self, address: str) -> None:
-        """Have a store probed: an engine that reads from it is late."""
+        """Schedule a probe of a store after a late answer of its reader."""
         store = self._stores.get(address)
         if store is not None:
             store.reach.suspect()
 
     def close(self) -> None:
-        """Close the kept connections."""
+        """Close all idle connections."""
         for store in self._stores.values():
             store.pool.close()
--- a/src/lifttrestle/internal/fleet/state/directory.py
+++ b/src/lifttrestle/internal/fleet/state/directory.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""All upstreams of the fleet, from their entries in the shared list."""
+"""The upstreams of the fleet, read from their entries in the shared list."""
 
 from collections.abc import Callable
 from collections.abc import Iterator
@@ -33,24 +33,29 @@
 from lifttrestle.internal.telemetry.event_log import get_event_log
 
 LOG = get_event_log('upstreams')
-# A connection within the fleet opens in a few ms, within 50 between regions. A
-# lost opening packet is sent again after a second, so that between 0.1 and a
-# second there is nothing to wait for; a request that meets an upstream behind
-# a cut then still is in time at another one (0.15 to 0.6 s).
+# A connection opens in a few ms within the fleet, and within 50 between
+# regions. A lost SYN is retransmitted after a second, so waiting between 0.1
+# and a second gains nothing. A request to an upstream behind a network
+# partition is then still answered in time by another one (0.15 to 0.6 s).
 CONNECT_SECONDS = 0.1
-# While the store was away, entries lapse of upstreams that live. Those are
-# back within two seconds; such an upstream is used on for a little less.
+# Entries of live upstreams expire during an outage of the store and return
+# within two seconds of its end. Until a little before that, an upstream whose
+# entry has expired stays in use.
 OUTAGE_GRACE_SECONDS = 1.8
-# A name goes into a header: other characters would end or spoil it.
+# Names are sent in a header: other characters would end or corrupt it.
 INSTANCE = re.compile(r'[!-~]{1,200}')
 
 
 class UpstreamDirectory:
-    """Holds the newest start of each upstream; old ones are forgotten.
-
-    :ivar changes: grows with each row and each start that is taken in.
-    :ivar get_catalogue: returns the configuration in force; an upstream of
-        a service that it does not name is not used.
+    """Holds the newest start of each upstream; older ones are dropped.
+
+    :ivar changes: counts the applied rows and the added or removed starts.
+    :ivar get_catalogue: returns the current configuration; upstreams of
+        services that it does not contain are not used.
+    :ivar outage_until: monotonic time of the first read after an outage of
+        the store, set by the owner.
+    :ivar on_ended: called when a start of an upstream has ended, set by the
+        owner.
     """
 
     def __init__(
@@ -67,13 +72,11 @@
         self._digests: dict[int, FleetUpstream] = {}
         self.changes = 0
         self.get_catalogue: Callable[[], Catalogue | None] = lambda: None
-        # Set from outside: when the list was last read after an outage.
         self.outage_until = float('-inf')
-        # Set from outside: is told how a start of an upstream ended.
-        self.on_ended: Callable[[FleetUpstream, StartEnd], None] = _tell_nobody
+        self.on_ended: Callable[[FleetUpstream, StartEnd], None] = _ignore_end
 
     def __iter__(self) -> Iterator[FleetUpstream]:
-        """Iterate over the upstreams that may be used."""
+        """Iterate over the upstreams of configured services."""
         catalogue = self.get_catalogue()
         return iter(
             [
@@ -84,19 +87,19 @@
         )
 
     def get(self, instance: str) -> FleetUpstream | None:
-        """Return an upstream by its name."""
+        """Return an upstream by its name, None if it is not known."""
         return self._known.get(instance)
 
     def get_start(self, start: str) -> FleetUpstream | None:
-        """Return an upstream if this start of it is the newest known."""
+        """Return an upstream if ``start`` is its newest known start."""
         return self._starts.get(start)
 
     def get_by_digest(self, digest: int) -> FleetUpstream | None:
-        """Return the newest known start that a message's digest stands for."""
+        """Return the upstream whose newest start has this digest."""
         return self._digests.get(digest)
 
     def take(self, row: VersionedRow) -> None:
-        """Take in a changed row of the list."""
+        """Apply a changed row of the list."""
         self.changes += 1
         if row.value is None:
             self._note_removed(row.key)
@@ -120,11 +123,11 @@
         born: int | None,
         weights: dict[str, int],
     ) -> bool:
-        """Take in that a start of an upstream has answered.
+        """Record that a start of an upstream has answered.
 
-        :param born: Unix milliseconds of that start, None if not told.
-        :param weights: that it holds.
-        :return: whether it is the start that ``upstream`` stands for.
+        :param born: start time in Unix milliseconds, None if not reported.
+        :param weights: versions that it holds, by model.
+        :return: whether ``upstream`` is that start.
         """
         if self._starts.get(upstream.start) is not upstream:
             return False
@@ -159,11 +162,11 @@
             if origin is RowOrigin.WRITTEN:
                 known.note_listed_weights(model, version, now)
             else:
-                # The entry may predate weights that were already seen.
+                # The entry may be older than the weights already recorded.
                 known.note_weights(model, version, now)
 
     def _replace(self, known: FleetUpstream, entry: UpstreamEntry) -> None:
-        """Forget what was learned of a start; another one has its name."""
+        """Discard the state of a start; another one now has its name."""
         LOG.info(
             'upstream.started_again',
             instance=entry.instance,
@@ -196,13 +199,13 @@
         )
 
     def _drop(self, instance: str) -> None:
-        """Use an upstream no more whose entry does not name one now."""
+        """Remove an upstream whose entry is no longer valid."""
         known = self._known.get(instance)
         if known is not None:
             self._forget(known, StartEnd.WITHDRAWN)
 
     def list_available(self, service: str) -> list[FleetUpstream]:
-        """Return the upstreams of a service that may get new work."""
+        """Return the upstreams of a service that accept new work."""
         self._forget_lapsed()
         return [
             upstream
@@ -213,7 +216,7 @@
         ]
 
     def close(self) -> None:
-        """Close every kept connection."""
+        """Close all idle connections."""
         for upstream in self._known.values():
             upstream.pool.close()
 
@@ -224,7 +227,7 @@
         known.vanished_at = self._clock.monotonic()
         LOG.info('upstream.entry_removed', instance=instance)
         if not self._may_return(known):
-            self._forget(known, _find_end(known))
+            self._forget(known, _classify_end(known))
 
     def _may_return(self, upstream: FleetUpstream) -> bool:
         if upstream.entry.draining:
@@ -241,7 +244,7 @@
             and not self._may_return(upstream)
         ]
         for upstream in lapsed:
-            self._forget(upstream, _find_end(upstream))
+            self._forget(upstream, _classify_end(upstream))
 
     def _forget(self, upstream: FleetUpstream, end: StartEnd) -> None:
         self.changes += 1
@@ -255,25 +258,25 @@
         self.on_ended(upstream, end)
 
 
-def _find_end(upstream: FleetUpstream) -> StartEnd:
-    """Return how an upstream whose entry was removed has ended."""
+def _classify_end(upstream: FleetUpstream) -> StartEnd:
+    """Return how an upstream ended whose entry was removed."""
     if upstream.entry.draining:
         return StartEnd.WITHDRAWN
     return StartEnd.VANISHED
 
 
-def _tell_nobody(upstream: FleetUpstream, end: StartEnd) -> None:
-    """Tell nobody."""
+def _ignore_end(upstream: FleetUpstream, end: StartEnd) -> None:
+    """Do nothing."""
 
 
 def _check_names(entry: UpstreamEntry) -> None:
-    """Check what is used as a header or an address.
+    """Check the address and the name, which is sent in a header.
 
-    :raises ValueError: if it can't be used as such.
+    :raises ValueError: if one of them is not valid.
     """
     check_address(entry.address)
     if INSTANCE.fullmatch(entry.instance) is None:
         raise ValueError(
-            f'{entry.instance!r} is no name; write 1 to 200 printable ASCII'
-            ' characters without blanks'
+            f'{entry.instance!r} is not a valid instance name; use 1 to 200'
+            ' printable ASCII characters without spaces'
         )
--- a/src/lifttrestle/internal/fleet/state/engine_pace.py
+++ b/src/lifttrestle/internal/fleet/state/engine_pace.py
@@ -10,33 +10,36 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""How fast the engines of a service read prompts, as their answers tell.
+"""Prefill time per token of the engines of a service, from their answers.
 
-An answer tells the time that its unread tokens took, and those that were to be
-read before it. The median of the last ones is what the choice of engines, and
-the refusal of what would be late, rest on; a figure of one deployment's
-engines holds for no other: 17 microseconds a token there were 30 on the next.
-Answers that met a queue count too: in overload there are no others, and with
-the prior instead of what they tell 0.53 of the callers were in time, not 0.79
+Each answer gives the time that its uncached tokens and those queued before it
+took. The choice of engines and load shedding use the median of the latest
+answers, since the value of one deployment's engines does not hold for another:
+17 microseconds a token on one were 30 on the next. Answers that waited in a
+queue count too: under overload there are no others, and with the prior in
+place of their values 0.53 of the callers were served in time, not 0.79
 (tests/cover/test_played_load.py).
 """
 
 import collections
 
-# Until answers tell; the pace of the first deployment's engines.
+# Assumed until there are answers: the value of the first deployment's engines.
 PRIOR_READ_SECONDS = 1 / 57_000
-# From a request's arrival to its first token, beside reading: two steps.
+# Time to first token without prefill: two steps of the engine.
 FIRST_STEP_SECONDS = 0.03
-# Answers that count; a busy router has as many in two seconds.
+# Size of the window; a busy router receives as many answers in two seconds.
 MAX_ANSWERS = 64
-# With fewer, the prior makes up for the rest.
+# With fewer answers, the prior takes the place of the missing ones.
 MIN_ANSWERS = 8
-# Shorter prompts take little more than the two steps.
+# Answers with fewer uncached tokens take little more than the two steps.
 MIN_UNREAD_TOKENS = 1500
 
 
 class EnginePace:
-    """What is learned of the engines of one service."""
+    """Estimates the prefill time per token of the engines of one service.
+
+    :ivar read_seconds: the estimate, seconds per token.
+    """
 
     def __init__(self) -> None:
         self._seconds: collections.deque[float] = collections.deque(
@@ -47,18 +50,18 @@
     def note_answer(
         self, queue_tokens: int, unread_tokens: int, seconds: float
     ) -> None:
-        """Learn from an answer.
+        """Add the sample of an answer.
 
-        :param queue_tokens: that were to be read there before its own.
-        :param unread_tokens: of its own prompt.
-        :param seconds: from its sending to its first token.
+        :param queue_tokens: uncached tokens queued at the engine before it.
+        :param unread_tokens: uncached tokens of its own prompt.
+        :param seconds: time from sending the request to its first token.
         """
         if unread_tokens < MIN_UNREAD_TOKENS:
             return
-        reading = max(seconds - FIRST_STEP_SECONDS, 0.0)
-        self._seconds.append(reading / (queue_tokens + unread_tokens))
+        prefill_seconds = max(seconds - FIRST_STEP_SECONDS, 0.0)
+        self._seconds.append(prefill_seconds / (queue_tokens + unread_tokens))
         missing = max(MIN_ANSWERS - len(self._seconds), 0)
-        known = sorted([*self._seconds, *[PRIOR_READ_SECONDS] * missing])
-        # The upper of two in the middle. Nothing else needs the library that
-        # has a median, and loading it takes 5 ms of each start.
-        self.read_seconds = known[len(known) // 2]
+        samples = sorted([*self._seconds, *[PRIOR_READ_SECONDS] * missing])
+        # The upper median. The statistics module has one, but importing it
+        # for this alone would add 5 ms to each start.
+        self.read_seconds = samples[len(samples) // 2]
--- a/src/lifttrestle/internal/fleet/state/reach.py
+++ b/src/lifttrestle/internal/fleet/state/reach.py
@@ -10,68 +10,70 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Whether an address takes connections, as far as this router knows."""
+"""Whether an address accepts connections, as far as this router knows."""
 
 import dataclasses
 
 NEVER = float('-inf')
-# One that is in doubt, or can't be reached, is tried again after this long. A
-# cut of five seconds then ends for callers within half a second of its end,
-# and costs some ten connections an address and router.
+# Interval between probes of an address that is unreachable or silent, or has
+# broken off an answer. A network partition of five seconds then ends for
+# callers within half a second of its end, and costs about ten connections per
+# address and router.
 PROBE_SECONDS = 0.4
-# One that takes connections and was suspected is not tried again sooner: late
-# answers have other causes than a cut too.
+# Minimum interval between probes of an address that accepts connections but is
+# suspected: late answers also have other causes than a network partition.
 SUSPECT_SECONDS = 1.0
 
 
 @dataclasses.dataclass
 class Reachability:
-    """What is known of one address.
+    """The reachability of one address.
 
-    It is believed to be reachable until a connection fails, and then not
-    until one succeeds: no caller's request is spent on finding out.
+    An address counts as reachable until a connection fails, and then as
+    unreachable until one succeeds, so that no caller's request is used as a
+    probe.
 
-    :ivar unreached: the last connection failed.
-    :ivar suspected: there are signs that it can't be reached.
-    :ivar lost: it broke an answer off, and nobody looked since whether it is
-        still there.
-    :ivar probed_at: when a connection was last tried for its own sake.
-    :ivar reached_at: when it last took a connection, or answered.
+    :ivar unreachable: whether the last connection failed.
+    :ivar suspected: whether it may be unreachable and is to be probed.
+    :ivar connection_lost: whether it broke off an answer and has not been
+        probed since.
+    :ivar probed_at: monotonic time of the last probe.
+    :ivar reached_at: monotonic time of its last connection or answer.
     """
 
     unreachable: bool = False
     suspected: bool = False
-    lost: bool = False
+    connection_lost: bool = False
     probed_at: float = NEVER
     reached_at: float = NEVER
 
     def note_reachable(self, now: float) -> None:
-        """Note that it took a connection, or answered."""
+        """Record that it accepted a connection or answered."""
         self.unreachable = False
         self.suspected = False
-        self.lost = False
+        self.connection_lost = False
         self.reached_at = now
 
     def note_unreachable(self) -> None:
-        """Note that it took no connection."""
+        """Record that it accepted no connection."""
         self.unreachable = True
-        self.lost = False
+        self.connection_lost = False
 
     def note_connection_lost(self) -> None:
-        """Note that it broke an answer off; it is probed at once."""
-        self.lost = True
+        """Record that it broke off an answer, to have it probed at once."""
+        self.connection_lost = True
 
     def suspect(self) -> None:
-        """Have it probed soon; it is used until that fails."""
+        """Schedule a probe; the address stays in use until that fails."""
         self.suspected = True
 
     def is_due(self, now: float, *, silent: bool = False) -> bool:
-        """Return whether it is to be probed now.
+        """Return whether a probe is due.
 
-        :param silent: it owes answers and sends nothing.
+        :param silent: whether it has pending answers and sends nothing.
         """
         since = now - self.probed_at
-        if self.unreachable or silent or self.lost:
+        if self.unreachable or silent or self.connection_lost:
             return since >= PROBE_SECONDS
-        known_since = now - self.reached_at
-        return self.suspected and min(since, known_since) >= SUSPECT_SECONDS
+        since_reached = now - self.reached_at
+        return self.suspected and min(since, since_reached) >= SUSPECT_SECONDS
--- a/src/lifttrestle/internal/fleet/state/reach_probing.py
+++ b/src/lifttrestle/internal/fleet/state/reach_probing.py
@@ -10,11 +10,11 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Finds out by connections of its own which addresses can be reached.
+"""Probes which addresses are reachable, with connections of its own.
 
-When an upstream can't be reached, others in its data centre may be cut off
-with it, and so may a store of cached context there; they are suspected and
-probed, so that not every one of them costs a caller its request.
+When an upstream is unreachable, others in its data centre and the cache store
+there may be cut off too. They are probed, so that not each of them has to fail
+a caller's request first.
 """
 
 import asyncio
@@ -35,19 +35,25 @@
 from lifttrestle.internal.telemetry.event_log import get_event_log
 
 LOG = get_event_log('reach')
-LOOK_SECONDS = 0.1
-# Connections that are tried at the same time. A cut-off data centre has some
-# ten addresses on the largest deployment; each takes as long as a connection
-# may take (0.1 s), so all are known after two turns.
+POLL_SECONDS = 0.1
+# Concurrent probes. A data centre has about ten addresses on the largest
+# deployment, and a probe of an unreachable one takes the connect timeout
+# (0.1 s), so two rounds cover a data centre that is cut off.
 MAX_PROBES = 8
-# One upstream of ten that is lost has crashed, and the others are not probed
-# for it. With 82 routers, five crashed engines of thirty had made 10,547
-# connections of a day that took 3,507 without probes.
-LOST_SHARE = 0.2
+# Fraction of the upstreams of a data centre that must be unreachable before
+# the others are probed: one of ten has crashed by itself. Without this limit,
+# with 82 routers, the probes for five crashed engines of thirty raised the
+# connections of a day from 3,507 to 10,547.
+PARTITION_SHARE = 0.2
 
 
 class ReachProber:
-    """Probes upstreams and stores of cached context that are in doubt."""
+    """Probes upstreams and cache stores that may be unreachable.
+
+    :ivar on_probed: called after each probe with the name of the target,
+        whether it accepted the connection, and if not, whether it refused it;
+        set by the owner.
+    """
 
     def __init__(
         self,
@@ -59,15 +65,13 @@
         self._stores = stores
         self._clock = clock
         self._probes: dict[str, asyncio.Task[None]] = {}
-        # Set from outside: is told of each probe whether it was taken, and
-        # if it was not, whether nothing listens there.
-        self.on_probed: Callable[[str, bool, bool], None] = _tell_nobody
+        self.on_probed: Callable[[str, bool, bool], None] = _ignore_probe
 
     async def run(self, beat: Beat) -> None:
-        """Probe what is in doubt, for ever."""
+        """Start due probes periodically until cancelled."""
         try:
             while True:
-                await beat.wait(LOOK_SECONDS)
+                await beat.wait(POLL_SECONDS)
                 self.begin_probes()
         finally:
             for probe in self._probes.values():
@@ -77,7 +81,7 @@
             )
 
     def begin_probes(self) -> None:
-        """Begin a probe of each address that is due for one."""
+        """Start a probe of each address that is due."""
         now = self._clock.monotonic()
         upstreams = [item for item in self._directory if not item.misdirected]
         suspect_neighbours(upstreams, self._stores, now)
@@ -109,7 +113,7 @@
             if not before:
                 LOG.info('reach.lost', target=name, reason=str(error))
             return
-        # The next request there has use for it.
+        # The next request to that address reuses the connection.
         pool.give_back(connection)
         reach.note_reachable(self._clock.monotonic())
         self.on_probed(name, True, False)
@@ -117,8 +121,8 @@
             LOG.info('reach.regained', target=name)
 
 
-def _tell_nobody(name: str, taken: bool, refused: bool) -> None:
-    """Tell nobody."""
+def _ignore_probe(name: str, accepted: bool, refused: bool) -> None:
+    """Do nothing."""
 
 
 def suspect_neighbours(
@@ -126,23 +130,26 @@
     stores: Iterable[CacheStore],
     now: float,
 ) -> None:
-    """Suspect what is in a data centre that may be cut off."""
+    """Suspect the addresses in a data centre that may be cut off.
+
+    Upstreams that have just sent something are left out.
+    """
     listed = list(upstreams)
     if not any(item.reach.unreachable for item in listed):
         return
-    present = collections.Counter(item.entry.data_centre for item in listed)
-    absent = collections.Counter(
+    known = collections.Counter(item.entry.data_centre for item in listed)
+    failed = collections.Counter(
         item.entry.data_centre for item in listed if item.reach.unreachable
     )
-    lost = {
+    cut_off = {
         name
-        for name, count in absent.items()
-        if count >= LOST_SHARE * present[name]
+        for name, count in failed.items()
+        if count >= PARTITION_SHARE * known[name]
     }
     for upstream in listed:
-        heard = now - upstream.last_received_at < SILENT_SECONDS
-        if upstream.entry.data_centre in lost and not heard:
+        received = now - upstream.last_received_at < SILENT_SECONDS
+        if upstream.entry.data_centre in cut_off and not received:
             upstream.reach.suspect()
     for store in stores:
-        if store.data_centre in lost:
+        if store.data_centre in cut_off:
             store.reach.suspect()
--- a/src/lifttrestle/internal/fleet/state/roster.py
+++ b/src/lifttrestle/internal/fleet/state/roster.py
@@ -10,12 +10,12 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""The routers that are live, from a shared table of their own.
+"""The live routers, from the rows that they keep in a shared table.
 
-Each router writes its row when it starts, again now and then, and removes it
-when it stops. One that vanished keeps its row for a while, so that the count
-errs on the high side: budgets and caps that are divided by it then come out
-too small, never too large.
+Each router writes its row when it starts, rewrites it periodically, and
+removes it when it stops. The row of a router that crashed stays for a while,
+so that the count is too high rather than too low: budgets and caps that are
+divided by it are then too small, never too large.
 """
 
 import asyncio
@@ -43,24 +43,24 @@
 FLEET_TABLE = 'lifttrestle'
 ROUTER_PREFIX = 'router/'
 RETRY_SECONDS = 0.5
-# A row is written anew this often: each write is told to every router.
+# Interval at which a row is rewritten; each write is sent to every router.
 REFRESH_SECONDS = 300.0
-# A router whose row has not changed for three such times is not counted, and
-# its row is removed.
+# A router whose row has not changed for three such intervals is not counted,
+# and its row is removed.
 STALE_SECONDS = 3 * REFRESH_SECONDS
 # A router whose row is lost is still counted for this long. If it is live, it
 # rewrites its row within half a second of learning of the loss.
 LOST_GRACE_SECONDS = 5.0
-# Counted until the table was read once: more than the deployments that are
-# known have of VMs in a region would make every budget zero; fewer than they
-# have would overspend. Each known deployment has eight or fewer.
-UNKNOWN_COUNT = 12
+# Number of routers assumed until the table has been read. If it were far above
+# the VMs that a deployment has in a region, every budget would be zero; below
+# it, budgets would be overspent. Each known deployment has eight or fewer.
+ASSUMED_COUNT = 12
 
 
 class RouterRow(msgspec.Struct, frozen=True):
     """One router's row.
 
-    :ivar address: where it hears of the others' loads, or nothing.
+    :ivar address: where it receives load reports; may be empty.
     """
 
     data_centre: str
@@ -69,9 +69,9 @@
 
 @dataclasses.dataclass(frozen=True)
 class RosterEntry:
-    """A router's row as it was last seen.
+    """A router's row as last read.
 
-    :ivar seen_at: when it was seen to change.
+    :ivar seen_at: monotonic time at which its last change was read.
     """
 
     version: int
@@ -81,13 +81,14 @@
 
 
 class Roster:
-    """Counts the live routers and keeps this one's row.
-
-    :ivar address: where this router hears of the others' loads.
-    :ivar loaded: the table was read once.
-    :ivar changes: grows with each change of the entries.
-    :ivar get_proved_at: returns until when the entries are known to be what
-        the store holds. While the store is away nobody's row ages.
+    """Counts the live routers and maintains the row of this one.
+
+    :ivar address: where this router receives load reports.
+    :ivar loaded: whether the table has been read.
+    :ivar changes: counts the changes of the entries.
+    :ivar get_proved_at: returns the monotonic time at which the entries were
+        last confirmed to match the store. No row becomes stale during an
+        outage of the store.
     """
 
     def __init__(
@@ -104,9 +105,9 @@
         self._key = f'{ROUTER_PREFIX}{vm}'
         self._data_centre = data_centre
         self._entries: dict[str, RosterEntry] = {}
-        # No row of another router was seen to change earlier than then.
-        self._none_seen_before = math.inf
-        # Of this router's row, as it was last written or seen.
+        # Lower bound of ``seen_at`` of the other routers' rows.
+        self._oldest_seen_at = math.inf
+        # Version of this router's row as last written or read.
         self._own_version = NO_ROW
         # The highest epoch of a received row.
         self._epoch = 0
@@ -123,20 +124,20 @@
 
     @property
     def live(self) -> int:
-        """Return how many routers there are at most."""
+        """Return an upper bound of the number of live routers."""
         if not self.loaded:
-            return UNKNOWN_COUNT
+            return ASSUMED_COUNT
         stale = len(self._list_stale())
         return max(len(self._entries) - stale, 1)
 
     @property
     def routers(self) -> list[str]:
-        """Return the routers' keys, in order."""
+        """Return the keys of the live routers, sorted."""
         fresh = set(self._entries) - set(self._list_stale())
         return sorted({*fresh, self._key})
 
     def list_others(self) -> list[str]:
-        """Return the other routers that can be told of loads."""
+        """Return the keys of the other routers that receive load reports."""
         return [
             key
             for key, entry in self._entries.items()
@@ -154,17 +155,17 @@
         return self._data_centre
 
     def get_address(self, key: str) -> str:
-        """Return where a router is reached, or an empty string."""
+        """Return the address of a router, or an empty string."""
         entry = self._entries.get(key)
         return entry.address if entry is not None else ''
 
     def get_data_centre(self, key: str) -> str:
-        """Return where a router is, or an empty string."""
+        """Return the data centre of a router, or an empty string."""
         entry = self._entries.get(key)
         return entry.data_centre if entry is not None else ''
 
     def take(self, row: VersionedRow) -> None:
-        """Take in a changed row of the table."""
+        """Apply a changed row of the table."""
         if not row.key.startswith(ROUTER_PREFIX):
             return
         before = self.live
@@ -181,13 +182,13 @@
         elif row.value is None:
             self._entries.pop(row.key, None)
         else:
-            held = self._read_row(row.key, row.value)
+            decoded = self._read_row(row.key, row.value)
             now = self._clock.monotonic()
-            self._none_seen_before = min(self._none_seen_before, now)
+            self._oldest_seen_at = min(self._oldest_seen_at, now)
             self._entries[row.key] = RosterEntry(
                 row.version,
-                held.address,
-                held.data_centre,
+                decoded.address,
+                decoded.data_centre,
                 now,
             )
         if self.live != before:
@@ -216,13 +217,13 @@
         if entry is None:
             return
         seen_at = self.get_proved_at() - STALE_SECONDS + LOST_GRACE_SECONDS
-        self._none_seen_before = min(self._none_seen_before, seen_at)
+        self._oldest_seen_at = min(self._oldest_seen_at, seen_at)
         self._entries[key] = dataclasses.replace(
             entry, version=NO_ROW, seen_at=seen_at
         )
 
     async def run(self) -> None:
-        """Keep this router's row and remove those of the vanished."""
+        """Maintain this router's row and remove stale rows until cancelled."""
         await self.join()
         await asyncio.gather(self._run_repairing(), self._run_refreshing())
 
@@ -241,10 +242,10 @@
             await self.remove_undeleted()
 
     async def remove_undeleted(self) -> None:
-        """Remove the undeleted rows of routers that had left.
+        """Remove the undeleted rows of routers that had stopped.
 
         Only the first live router does so, to avoid conflicting writes. Rows
-        that could not be removed are tried again with the next refresh.
+        that could not be removed are retried at the next refresh.
         """
         if self.routers[0] != self._key:
             return
@@ -254,20 +255,20 @@
                 self._undeleted.pop(key, None)
 
     async def join(self) -> None:
-        """Write this router's row, trying until it is there."""
+        """Write this router's row, with retries until it is in the table."""
         while not self._left and not self._is_listed():
             try:
                 await self._write_own()
                 return
             except ConditionFailed:
-                # The row of an earlier start is there and not yet seen.
+                # The table has the row of an earlier start, not yet read here.
                 LOG.info('roster.row_differs')
             except PlatformUnavailable as error:
                 LOG.info('roster.not_joined', reason=str(error))
             await self._clock.sleep(RETRY_SECONDS)
 
     async def refresh(self) -> None:
-        """Write this router's row anew, so that it is not taken for gone."""
+        """Rewrite this router's row, so that it does not become stale."""
         try:
             await self._write_own()
         except (ConditionFailed, PlatformUnavailable) as error:
@@ -290,16 +291,16 @@
                 )
 
     async def remove_stale(self) -> None:
-        """Remove the rows of routers that vanished."""
+        """Remove the stale rows of other routers."""
         for key in self._list_stale():
             LOG.warning('roster.vanished', router=key)
             await self._remove(key, self._entries[key].version)
 
     async def leave(self) -> None:
-        """Remove this router's row, and write it no more.
+        """Remove this router's row and stop writing it.
 
-        A write that is under way comes first, so that the row does not come
-        back after its removal.
+        A write in progress completes first, so that it can't restore the row
+        after its removal.
         """
         self._left = True
         async with self._writing:
@@ -320,15 +321,15 @@
 
     def _list_stale(self) -> list[str]:
         latest = self.get_proved_at() - STALE_SECONDS
-        if self._none_seen_before >= latest:
-            # Asked with each report of loads that is heard, 250 times a
-            # second: to look at 195 rows each time took two fifths of their
-            # cost (72 and 43 microseconds, benchmarks/decisions.py).
+        if self._oldest_seen_at >= latest:
+            # Called for each received load report, 250 times a second. A scan
+            # of 195 rows each time took two fifths of the cost of a report
+            # (72 microseconds with it, 43 without; benchmarks/decisions.py).
             return []
         others = [
             item for item in self._entries.items() if item[0] != self._key
         ]
-        self._none_seen_before = min(
+        self._oldest_seen_at = min(
             (entry.seen_at for _, entry in others), default=math.inf
         )
         return [key for key, entry in others if entry.seen_at < latest]
@@ -338,9 +339,9 @@
         return await self._store.write_row(write)
 
     def _read_row(self, key: str, value: bytes) -> RouterRow:
-        """Return what a row tells, nothing for one that can't be used.
+        """Return a decoded row, an empty one if it is invalid.
 
-        Such a router is counted; nobody asks it or tells it anything.
+        The router of an invalid row is counted, but is sent no messages.
         """
         try:
             row = decode_json(value, RouterRow)
--- a/src/lifttrestle/internal/fleet/state/shared_parts.py
+++ b/src/lifttrestle/internal/fleet/state/shared_parts.py
@@ -10,12 +10,12 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Which shared parts of prompts the fleet's engines have read lately.
+"""Which shared parts of prompts the engines have computed recently.
 
-A part that was read once can be fetched by any engine; one that was not has
-to be computed, which takes most of the time to a first token. Routers tell
-each other what is new. All of it is a hint: a part that was pushed out since
-costs its computation and nothing else.
+Any engine can fetch a part from the cache store once it has been computed; any
+other part has to be prefilled, which takes most of the time to first token.
+Routers report new parts to each other. The data is a hint: a part that has
+been evicted since only costs its prefill.
 """
 
 import collections
@@ -23,16 +23,16 @@
 
 from lifttrestle.internal.fleet.path.dialect import PromptPart
 
-# Some hundred bytes each; several times what engines and store hold.
+# About a hundred bytes each; several times what engines and store can hold.
 MAX_PARTS = 20_000
-# Told to the others in one report; the rest goes with the next one.
+# Parts in one report to the other routers; the rest is sent in the next one.
 MAX_UPDATES = 200
 DIGEST_BYTES = 8
 NEVER = float('-inf')
 
 
 class SharedParts:
-    """Remembers by salt when a shared part was last sent to the store."""
+    """Records by salt when a shared part was last sent to the store."""
 
     def __init__(self) -> None:
         self._computed_at: collections.OrderedDict[int, float] = (
@@ -45,28 +45,28 @@
     def note_computed(
         self, salt: str, parts: tuple[PromptPart, ...], now: float
     ) -> None:
-        """Note parts that an engine has read and sent to the store."""
+        """Record parts that an engine has computed and sent to the store."""
         for part in parts:
             key = _make_key(salt, part)
             self._remember(key, now)
             self._unreported.append(key)
 
     def note_reported(self, keys: list[int], now: float) -> None:
-        """Note what another router has told."""
+        """Record the keys of parts that another router has reported."""
         for key in keys:
             self._remember(key, now)
 
     def pop_updates(self) -> list[int]:
-        """Return what the others have not been told yet."""
+        """Return keys not yet reported to the other routers and drop them."""
         count = min(len(self._unreported), MAX_UPDATES)
         return [self._unreported.popleft() for _ in range(count)]
 
     def get_age(self, salt: str, part: PromptPart, now: float) -> float:
-        """Return the seconds since a part was read, infinite if never."""
+        """Return the seconds since a part was computed, infinite if never."""
         return now - self._computed_at.get(_make_key(salt, part), NEVER)
 
     def count_unknown(self, salt: str, parts: tuple[PromptPart, ...]) -> int:
-        """Return the tokens of the parts that no engine is known to have."""
+        """Return the tokens of the parts that are not known to be computed."""
         return sum(
             part.tokens
             for part in parts
@@ -81,7 +81,7 @@
 
 
 def build_salt(cache_scope: str, model: str, weights: int) -> str:
-    """Return the text under which requests may share cached context."""
+    """Return the salt that requests with a common cache have in common."""
     return f'{cache_scope}/{model}/{weights}'
 
 
--- a/src/lifttrestle/internal/fleet/state/shutdown.py
+++ b/src/lifttrestle/internal/fleet/state/shutdown.py
@@ -10,18 +10,19 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Whether this process was told to stop, and how long it has for that."""
+"""The state and the deadlines of the shutdown of a process."""
 
 import asyncio
 
 from lifttrestle.internal.clock.clock import Clock
 
-# Shares of the time between the signal and the kill that are kept at its end.
-# With 8 s: from 0.48 s on, what has no answer yet gets one; from 0.28 s on,
-# what still runs is cut; 0.1 s is for the last bytes of answers, and the last
-# 0.1 s for the end of the process. On a VM that runs none of that takes time:
-# from the last cut to the last line it was 0.9 ms at the most (20 planned
-# stops, processor time measured). It guards against one that is slow then.
+# Fractions of the time between the signal and the kill, reserved at its end.
+# With 8 s: 0.48 s before the end, requests without an answer are refused;
+# 0.28 s before it, answers in progress are aborted; 0.1 s is for flushing the
+# last bytes of answers, and the last 0.1 s for the exit. On a healthy VM none
+# of this takes long: from the last abort to the last log line it was at most
+# 0.9 ms (20 planned stops, processor time). The reserves are for a VM that is
+# slow at that time.
 END_SHARE = 0.06
 CUT_SHARE = 0.035
 FLUSH_SHARE = 0.0125
@@ -29,10 +30,10 @@
 
 
 class Shutdown:
-    """The stop of one process, with one deadline for all that it has to do.
+    """The shutdown of one process, with a common deadline for all steps.
 
-    :ivar ending: is done when requests without an answer have to get one.
-    :ivar given_up: requests that got one then, in place of being served.
+    :ivar ending: done when requests without an answer have to be refused.
+    :ivar given_up: number of requests that were refused for that reason.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -44,48 +45,48 @@
 
     @property
     def begun(self) -> bool:
-        """Return whether the process was told to stop."""
+        """Return whether the shutdown has begun."""
         return self._began is not None
 
     def begin(self, seconds: float) -> None:
-        """Note the order to stop, to be carried out within ``seconds``."""
+        """Begin the shutdown, which has to end within ``seconds``."""
         if self._began is None:
             self._began = self._clock.monotonic()
             self._seconds = seconds
 
     def get_elapsed_seconds(self) -> float:
-        """Return the seconds since the order; zero before it."""
+        """Return the seconds since the shutdown began; zero before that."""
         if self._began is None:
             return 0.0
         return self._clock.monotonic() - self._began
 
     def get_remaining_seconds(self) -> float:
-        """Return the seconds that are left; for ever before the order."""
+        """Return the seconds until the deadline; infinite if not begun."""
         if self._began is None:
             return float('inf')
         return max(self._seconds - self.get_elapsed_seconds(), 0.0)
 
     def get_serving_seconds(self) -> float:
-        """Return the seconds within which a request has to have ended."""
-        return self._get_left_but(END_SHARE)
+        """Return the seconds until requests without an answer are refused."""
+        return self._get_seconds_until(END_SHARE)
 
     def get_abort_seconds(self) -> float:
-        """Return the seconds until what still runs is cut."""
-        return self._get_left_but(CUT_SHARE)
+        """Return the seconds until answers in progress are aborted."""
+        return self._get_seconds_until(CUT_SHARE)
 
     def get_flush_seconds(self) -> float:
-        """Return the seconds that the last bytes of answers are given."""
+        """Return the seconds for flushing the last bytes of answers."""
         return self._seconds * FLUSH_SHARE
 
     def get_leave_seconds(self) -> float:
-        """Return the seconds that the store has for the last write."""
-        return self._get_left_but(EXIT_SHARE)
+        """Return the seconds for the last write to the store."""
+        return self._get_seconds_until(EXIT_SHARE)
 
-    def _get_left_but(self, share: float) -> float:
+    def _get_seconds_until(self, share: float) -> float:
         return max(self.get_remaining_seconds() - self._seconds * share, 0.0)
 
     async def signal_ending(self) -> None:
-        """Have requests without an answer end when their time is over."""
+        """Complete ``ending`` when the time for serving requests is over."""
         await self._clock.sleep(self.get_serving_seconds())
         if not self.ending.done():
             self.ending.set_result(None)
--- a/src/lifttrestle/internal/fleet/state/upstream.py
+++ b/src/lifttrestle/internal/fleet/state/upstream.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""What one router knows of one upstream of the fleet."""
+"""The state that a router keeps for one upstream of the fleet."""
 
 import dataclasses
 
@@ -20,18 +20,20 @@
 from lifttrestle.internal.http.client_pool import ClientPool
 from lifttrestle.internal.upstream.breaker import Breaker
 
-# Weight of the newest observation in the average of first bytes: the last
-# five or so count.
-AVERAGE_SHARE = 0.2
-# An upstream that owes answers and sent nothing for this long is suspect.
-# It is avoided, not given up: 99 of 100 first pieces come within 0.75 s on
-# calm days, and to avoid an engine for a moment costs little.
+# Weight of the newest value in the moving average of the time to first byte:
+# about the last five values count.
+SMOOTHING_FACTOR = 0.2
+# An upstream with pending answers that has sent nothing for this long seems
+# down. It is avoided, but requests sent to it go on: under normal load 99 of
+# 100 first tokens arrive within 0.75 s, and avoiding an engine for a moment
+# costs little.
 SILENT_SECONDS = 0.5
 
-# Entries tell of weights up to a heartbeat (1.2 s on the known deployments)
-# and a read of the list after an answer or a report did. An entry that tells
-# of older weights later than this is right: taken for late, it left an engine
-# that turned every request away without ever being ordered to load again.
+# An entry shows new weights up to a heartbeat (1.2 s on the known deployments)
+# and a read of the list later than an answer or a load report. An entry with
+# older weights that arrives after this delay is correct: when it was ignored
+# as outdated, an engine that declined every request was never ordered to load
+# its weights again.
 ENTRY_LAG_SECONDS = 4.0
 
 
@@ -39,8 +41,9 @@
 class PendingAnswer:
     """A request that was sent and has no answer yet.
 
-    :ivar urgency: 0 is first; upstreams take more urgent ones out of turn.
-    :ivar unread_tokens: of its prompt, that had to be computed when sent.
+    :ivar urgency: its priority, 0 is the highest; upstreams serve requests in
+        the order of their priority.
+    :ivar unread_tokens: prompt tokens that were uncached when it was sent.
     """
 
     sent_at: float
@@ -52,17 +55,20 @@
 class FleetUpstream:
     """One start of an upstream.
 
-    :ivar weights: the newest version of each model's weights that it is
-        known to hold.
-    :ivar peers_in_flight: requests that other routers have under way there.
-    :ivar peers_unread: the tokens that it has yet to read for them.
-    :ivar busy_until: until when it is expected to load weights.
-    :ivar weights_noted_at: when it was first seen to hold its weights.
-    :ivar vanished_at: when its entry went, or None.
-    :ivar first_byte_seconds: average time to the first byte of an answer.
-    :ivar reach: whether it takes connections.
-    :ivar digest: stands for this start in messages to other routers.
-    :ivar owed: the unanswered requests, by ticket.
+    :ivar weights: newest version of each model's weights that it is known to
+        hold.
+    :ivar peers_in_flight: requests in flight there from other routers.
+    :ivar peers_unread: prompt tokens of those requests that it has yet to
+        compute.
+    :ivar busy_until: when it is expected to finish loading weights.
+    :ivar weights_noted_at: when it was first observed to hold its weights.
+    :ivar vanished_at: when its entry was removed, or None.
+    :ivar misdirected: whether another start answers at its address.
+    :ivar first_byte_seconds: moving average of the time to first byte.
+    :ivar last_received_at: when it last sent anything.
+    :ivar reach: whether it accepts connections.
+    :ivar digest: identifies this start in messages between routers.
+    :ivar pending: unanswered requests, by ticket.
     """
 
     entry: UpstreamEntry
@@ -83,12 +89,12 @@
     digest: int = 0
 
     def __post_init__(self) -> None:
-        """Build what stands for this start in messages."""
+        """Compute the digest of this start."""
         self.digest = build_digest(self.start)
 
     @property
     def instance(self) -> str:
-        """Return its name."""
+        """Return the name of the upstream."""
         return self.entry.instance
 
     @property
@@ -97,7 +103,7 @@
         return self.entry.start
 
     def note_weights(self, model: str, version: int, now: float) -> None:
-        """Note weights that it was seen to hold; older news is dropped."""
+        """Record weights that it holds; older versions are ignored."""
         if version > self.weights.get(model, 0):
             self.weights[model] = version
             self.weights_noted_at = now
@@ -106,49 +112,52 @@
     def note_listed_weights(
         self, model: str, version: int, now: float
     ) -> None:
-        """Note weights by its own entry, which may tell that they went back.
+        """Record the weights in its own entry, which may be older ones.
 
-        A late order that was sent to its start before, which had accepted
-        as many orders, does that.
+        The version goes back if a delayed load order for the previous start
+        is executed: it is accepted if both starts have accepted the same
+        number of orders.
         """
-        settled = now - self.weights_noted_at > ENTRY_LAG_SECONDS
-        if settled and version < self.weights.get(model, 0):
+        is_current = now - self.weights_noted_at > ENTRY_LAG_SECONDS
+        if is_current and version < self.weights.get(model, 0):
             self.weights[model] = version
             return
         self.note_weights(model, version, now)
 
     @property
     def unread_tokens(self) -> int:
-        """Return the tokens that it has yet to read for this router."""
+        """Return the uncomputed prompt tokens of this router's requests."""
         return sum(pending.unread_tokens for pending in self.pending.values())
 
     def note_sent(
         self, ticket: int, now: float, urgency: int = 0, unread: int = 0
     ) -> None:
-        """Note that an answer is owed, after ``unread`` tokens are read."""
+        """Record that a request with ``unread`` uncached tokens was sent."""
         self.pending[ticket] = PendingAnswer(now, urgency, unread)
         self.breaker.note_sent(now)
 
     def note_first_byte(self, ticket: int, now: float) -> None:
-        """Note that an answer began."""
+        """Record the first byte of an answer."""
         pending = self.pending.pop(ticket, PendingAnswer(now, 0))
         self.note_alive(now)
         change = (now - pending.sent_at) - self.first_byte_seconds
-        self.first_byte_seconds += AVERAGE_SHARE * change
+        self.first_byte_seconds += SMOOTHING_FACTOR * change
 
     def note_alive(self, now: float) -> None:
-        """Note that it has sent something."""
+        """Record that it has sent something."""
         self.last_received_at = now
         self.reach.note_reachable(now)
 
     def note_ended(self, ticket: int) -> None:
-        """Forget an exchange that is over."""
+        """Remove a request that has ended."""
         self.pending.pop(ticket, None)
 
     def get_oldest_wait(self, now: float, urgency: int) -> float:
-        """Return how long an unanswered request has waited at the most.
+        """Return the longest time that an unanswered request has waited.
 
-        :param urgency: only requests that are as urgent count.
+        :param urgency: only requests with this priority or a higher one
+            count.
+        :return: seconds, zero if there is no such request.
         """
         waits = [
             now - pending.sent_at
@@ -158,11 +167,11 @@
         return max(waits, default=0.0)
 
     def seems_down(self, now: float) -> bool:
-        """Return whether there are signs that it is not there."""
+        """Return whether it is unreachable or silent."""
         return self.reach.unreachable or self.is_silent(now)
 
     def is_silent(self, now: float) -> bool:
-        """Return whether it owes an answer and has been quiet too long."""
+        """Return whether it has pending answers and sends nothing."""
         if not self.pending:
             return False
         oldest = min(pending.sent_at for pending in self.pending.values())
--- a/src/lifttrestle/internal/fleet/state/upstream_entry.py
+++ b/src/lifttrestle/internal/fleet/state/upstream_entry.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""What an upstream tells of itself in the shared list."""
+"""What an upstream publishes about itself in the shared list."""
 
 import dataclasses
 import enum
@@ -21,14 +21,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class UpstreamEntry:
-    """One upstream's own entry.
-
-    :ivar instance: its name; it may start again under the same one.
-    :ivar address: where it is reached, ``IP:PORT``; used again by others
-        once it is gone.
-    :ivar draining: it leaves soon and takes no new work.
-    :ivar weights: the version of the weights of each model.
-    :ivar born: Unix milliseconds of its start, None where it is not told.
+    """The entry that an upstream writes about itself.
+
+    :ivar instance: its name, which it keeps when it restarts.
+    :ivar address: ``IP:PORT`` that it listens on; other upstreams may reuse
+        it after this one has stopped.
+    :ivar draining: whether it stops soon and accepts no new work.
+    :ivar weights: version of the weights of each model.
+    :ivar born: start time in Unix milliseconds, None if it is not reported.
     """
 
     instance: str
@@ -42,24 +42,24 @@
 
     @property
     def start(self) -> str:
-        """Return the identity of this start, for keys and other routers."""
+        """Return the identity of this start, used as a key and in messages."""
         if self.born is None:
             return self.instance
         return f'{self.instance}@{self.born}'
 
 
 def build_digest(start: str) -> int:
-    """Return a number that stands for a start in short messages.
+    """Return a short hash that identifies a start in messages.
 
-    Of 600 upstreams two have the same one once in 24,000 fleets; a load then
-    counts for the wrong one of them.
+    With 600 upstreams, one fleet in 24,000 has a collision; a load report is
+    then attributed to the wrong one of the two upstreams.
     """
     digest = hashlib.blake2b(start.encode(), digest_size=DIGEST_BYTES).digest()
     return int.from_bytes(digest, 'big')
 
 
 class StartOrder(enum.Enum):
-    """How a start that is told relates to the one that is known."""
+    """How a reported start relates to the known one."""
 
     SAME = enum.auto()
     NEWER = enum.auto()
@@ -67,35 +67,37 @@
 
 
 class StartEnd(enum.Enum):
-    """How a start was seen to be there no more."""
+    """How a start of an upstream ended."""
 
-    # A newer start has its name, or its address.
+    # A newer start has its name, or its entry has another address.
     REPLACED = enum.auto()
-    # Its entry ended without a word.
+    # Its entry was removed without being marked as draining.
     VANISHED = enum.auto()
-    # It had said that it leaves, or its entry can't be read any more.
+    # Its entry was marked as draining, or can no longer be decoded.
     WITHDRAWN = enum.auto()
 
 
-def compare_starts(known: int | None, told: int | None) -> StartOrder:
-    """Return how the start ``told`` relates to ``known``.
+def compare_starts(known: int | None, reported: int | None) -> StartOrder:
+    """Return how the start ``reported`` relates to ``known``.
 
-    One that does not say when it began claims nothing new. Where the known
-    one did not say, the two may differ: to take them for one would hold a
-    new start to what an old one did, and to forget costs a little warmth.
+    A report without a start time does not indicate a new start. If the start
+    time of the known one is missing, the two count as different: treating
+    them as one could apply the state of an old start to a new one, while
+    discarding that state costs only a few cache hits.
 
-    :param known: Unix milliseconds of the start, None if it was not told.
+    :param known: start time in Unix milliseconds, None if not reported.
+    :param reported: likewise.
     """
-    if told is None or told == known:
+    if reported is None or reported == known:
         return StartOrder.SAME
-    if known is None or told > known:
+    if known is None or reported > known:
         return StartOrder.NEWER
     return StartOrder.OLDER
 
 
 @dataclasses.dataclass(frozen=True)
 class TargetWeights:
-    """The version of a model's weights that the operator wants in use."""
+    """The version of a model's weights that the operator has requested."""
 
     model: str
     version: int
