--- a/tests/cover/test_fleet_parts.py
+++ b/tests/cover/test_fleet_parts.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""The small parts of a fleet router, each by itself."""
+"""Unit tests of small parts of a fleet router."""
 
 import unittest
 
@@ -66,7 +66,7 @@
             whole = 0.2 * max(earned, earlier) + 56.0
             self.assertLessEqual(spent, whole)
 
-    def test_unknown_number_of_routers_counts_high(self):
+    def test_assumed_number_of_routers_leaves_a_small_budget(self):
         budget = SharedRetryBudget(Promises(retry_slack=24.0), make_clock())
         taken = 0
         while budget.take(12):
@@ -152,7 +152,9 @@
         self.take('b', None)
         self.assertEqual(self.list_available(), ['c'])
 
-    def test_entry_that_lapsed_in_an_outage_is_used_until_it_had_time(self):
+    def test_entry_that_expired_in_an_outage_is_used_for_the_grace_period(
+        self,
+    ):
         self.put('a')
         self.directory.outage_until = self.clock.monotonic()
         self.take('a', None)
--- a/tests/cover/test_refused_input.py
+++ b/tests/cover/test_refused_input.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Tests of what other writers write that no upstream would."""
+"""Tests of invalid rows and messages from other processes."""
 
 import datetime
 import unittest
@@ -51,7 +51,7 @@
 ENGINE_ENTRY = make_entry(
     service='engines', stage='combined', models=[{'name': 'm', 'version': 1}]
 )
-PROMISED = tuple(make_entry())
+REQUIRED_FIELDS = tuple(make_entry())
 WRONG_VALUES = {
     'state': ('weird', '', 'READY', None, 1, ['ready']),
     'slots': (-1, 0, '8', 1.5, None, True, [8]),
@@ -84,8 +84,8 @@
 )
 
 
-class DoorCase(unittest.TestCase):
-    """Has a directory that knows one plain upstream and one engine."""
+class InputCase(unittest.TestCase):
+    """Has a directory with one plain upstream and one engine."""
 
     def setUp(self):
         self.counted = []
@@ -112,19 +112,19 @@
         return sorted(upstream.instance for upstream in self.directory)
 
 
-class TestEntries(DoorCase):
-    def test_promised_entry_names_an_upstream(self):
+class TestEntries(InputCase):
+    def test_valid_entry_adds_an_upstream(self):
         self.take('new', make_entry(born=1767225600000, extra={'a': [1]}))
         self.assertEqual(self.list_names(), ['engine', 'new', 'sound'])
         self.assertEqual(self.counted, [])
 
-    def test_entry_that_tells_no_start_stays_usable(self):
+    def test_entry_without_a_start_time_is_valid(self):
         entry = make_entry()
         self.assertNotIn('born', entry)
         self.assertIn('sound', self.list_names())
 
-    def test_missing_field_names_no_upstream(self):
-        for field in PROMISED:
+    def test_entry_without_a_required_field_is_refused(self):
+        for field in REQUIRED_FIELDS:
             with self.subTest(field=field):
                 entry = make_entry()
                 del entry[field]
@@ -134,7 +134,7 @@
                 self.assertEqual(self.list_names(), ['engine', 'sound'])
                 self.assertEqual(self.counted[-1], ('upstreams', 'field'))
 
-    def test_wrong_field_names_no_upstream(self):
+    def test_entry_with_an_invalid_field_is_refused(self):
         for field, values in WRONG_VALUES.items():
             for value in values:
                 with self.subTest(field=field, value=value):
@@ -142,9 +142,9 @@
                         self.take('new', {**ENGINE_ENTRY, field: value})
                     self.assertEqual(self.list_names(), ['engine', 'sound'])
 
-    def test_unreadable_bytes_name_no_upstream(self):
+    def test_undecodable_entry_is_refused(self):
         long = msgspec.json.encode(make_entry(pad='x' * MAX_ENTRY_BYTES))
-        told = {
+        faults = {
             b'': 'malformed',
             b'\xff\xfe': 'malformed',
             b'{"service":': 'malformed',
@@ -152,21 +152,21 @@
             DEEP: 'too deep',
             long: 'too long',
         }
-        for value, fault in told.items():
+        for value, fault in faults.items():
             with self.subTest(value=value[:20]):
                 with self.assertLogs('lifttrestle.intake', 'ERROR'):
                     self.take('new', value)
                 self.assertEqual(self.list_names(), ['engine', 'sound'])
                 self.assertEqual(self.counted[-1], ('upstreams', fault))
 
-    def test_name_that_is_no_header_names_no_upstream(self):
+    def test_name_that_is_not_valid_in_a_header_is_refused(self):
         for key in ('', 'a b', 'a\r\nx: y', 'ä', 'x' * 300):
             with self.subTest(key=key):
                 with self.assertLogs('lifttrestle.intake', 'ERROR'):
                     self.take(key, make_entry())
                 self.assertEqual(self.list_names(), ['engine', 'sound'])
 
-    def test_entry_that_became_unusable_names_its_upstream_no_more(self):
+    def test_upstream_is_removed_when_its_entry_becomes_invalid(self):
         with self.assertLogs('lifttrestle.intake', 'ERROR'):
             self.take('sound', b'?')
         self.assertEqual(self.list_names(), ['engine'])
@@ -195,8 +195,8 @@
         self.directory.take(VersionedRow(f'n{key}', None, 2))
 
 
-class TestOtherRows(DoorCase):
-    def test_plan_that_is_none_has_no_holder_and_can_be_replaced(self):
+class TestOtherRows(InputCase):
+    def test_invalid_plan_has_no_holder_and_can_be_replaced(self):
         view = WeightsView(self.directory, self.clock, self.refusals)
         plan = msgspec.json.encode(WeightsPlan('r1', 'm', 2))
         other = msgspec.json.encode(WeightsPlan('r1', 'other', 2))
@@ -204,13 +204,13 @@
             with self.subTest(value=value and value[:20]):
                 view.take(VersionedRow('weights/m', plan, commit * 10))
                 view.take(VersionedRow('weights/m', value, commit * 10 + 1))
-                held = view.get('m')
-                self.assertIsNone(held.plan)
-                # A write has to name the row as it now is.
+                state = view.get('m')
+                self.assertIsNone(state.plan)
+                # A write has to name the current version of the row.
                 expected = commit * 10 + 1 if value else 0
-                self.assertEqual(held.row_version, expected)
+                self.assertEqual(state.row_version, expected)
 
-    def test_router_row_that_is_none_is_counted_and_never_asked(self):
+    def test_router_of_an_invalid_row_is_counted_and_sent_no_messages(self):
         roster = Roster(MemoryRows(), self.clock, 'me', 'a', self.refusals)
         roster.loaded = True
         for commit, value in enumerate((b'?', DEEP, b'{"address":1}'), 1):
@@ -219,7 +219,7 @@
         self.assertEqual(roster.list_others(), [])
         self.assertEqual(len(self.counted), 3)
 
-    def test_operator_row_that_is_none_changes_nothing(self):
+    def test_invalid_operator_row_changes_nothing(self):
         view = OperatorView(PlatformFormat(), self.clock, 8.0, self.refusals)
         for key in ('config', 'version/m'):
             for value in (b'?', DEEP, b'{"version":"x"}'):
@@ -236,7 +236,7 @@
 
 
 class TestMessages(unittest.TestCase):
-    def test_deep_nesting_is_refused_like_anything_else(self):
+    def test_deep_nesting_is_refused_like_anything_else_like_anything_else(self):
         for decode, data, model in (
             (decode_json, DEEP, ReportRecord),
             (decode_msgpack, DEEP_PACKED, LoadReport),
--- a/tests/cover/test_roster.py
+++ b/tests/cover/test_roster.py
@@ -39,7 +39,7 @@
         self.rows = MemoryRows()
         self.clock = ManualClock(START)
         self.proved_at = self.clock.monotonic()
-        self.heard = {}
+        self.applied = {}
 
     def make_roster(self, name, address='1.2.3.4:1'):
         roster = Roster(self.rows, self.clock, name, 'a')
@@ -48,13 +48,13 @@
         roster.get_proved_at = lambda: self.proved_at
         return roster
 
-    async def hear(self, roster):
-        """Take in what changed, as the watch of the table does."""
-        after = self.heard.get(roster.key, 0)
+    async def apply_changes(self, roster):
+        """Apply the changed rows, as the watch of the table does."""
+        after = self.applied.get(roster.key, 0)
         changes = await self.rows.watch_table(FLEET_TABLE, after, 0)
         for row in changes.rows:
             roster.take(row)
-        self.heard[roster.key] = changes.version
+        self.applied[roster.key] = changes.version
 
     def pass_time(self, seconds):
         self.clock.advance(seconds)
@@ -63,17 +63,17 @@
 
 class TestVanished(RosterCase):
     async def test_regression_vanished_router_counts_for_a_while_only(self):
-        # Its row stayed for ever: each VM that was lost made the shares of
-        # all others smaller, until they had nothing to spend.
+        # Its row was never removed: each VM that crashed reduced the shares of
+        # all others, until they had no budget left.
         one, other = self.make_roster('one'), self.make_roster('other')
         for roster in (one, other):
             await roster.join()
         for _ in range(4):
-            await self.hear(one)
+            await self.apply_changes(one)
             self.pass_time(REFRESH_SECONDS)
             await one.refresh()
             await one.remove_stale()
-        await self.hear(one)
+        await self.apply_changes(one)
         self.assertEqual(one.live, 1)
         self.assertEqual(one.routers, ['router/one'])
         gone = self.rows.get(FLEET_TABLE, 'router/other')
@@ -83,7 +83,7 @@
         one, other = self.make_roster('one'), self.make_roster('other')
         for roster in (one, other):
             await roster.join()
-        await self.hear(one)
+        await self.apply_changes(one)
         self.clock.advance(2 * STALE_SECONDS)
         self.assertEqual(one.live, 2)
         await one.remove_stale()
@@ -95,7 +95,7 @@
             await roster.join()
         for _ in range(6):
             for roster in (one, other):
-                await self.hear(roster)
+                await self.apply_changes(roster)
             self.pass_time(REFRESH_SECONDS)
             for roster in (one, other):
                 await roster.refresh()
@@ -107,16 +107,16 @@
     async def test_regression_new_address_replaces_that_of_an_earlier_start(
         self,
     ):
-        # A VM that came back at another address kept its old row: nobody
-        # told it of the others' loads.
+        # A VM that restarted at another address kept its old row, so that it
+        # received no load reports.
         first = self.make_roster('one', '1.2.3.4:1')
         await first.join()
         second = self.make_roster('one', '5.6.7.8:1')
-        await self.hear(second)
+        await self.apply_changes(second)
         await second.join()
         row = self.rows.get(FLEET_TABLE, 'router/one')
-        held = msgspec.json.decode(row.value, type=RouterRow)
-        self.assertEqual(held.address, '5.6.7.8:1')
+        decoded = msgspec.json.decode(row.value, type=RouterRow)
+        self.assertEqual(decoded.address, '5.6.7.8:1')
 
     async def test_row_of_an_earlier_start_is_kept_without_a_write(self):
         await self.make_roster('one').join()
@@ -125,7 +125,7 @@
         joining = asyncio.create_task(again.join())
         while not joining.done():
             await asyncio.sleep(0)
-            await self.hear(again)
+            await self.apply_changes(again)
             self.pass_time(1.0)
         self.assertEqual(self.rows.version, version)
 
@@ -146,15 +146,15 @@
     async def test_row_goes_with_the_router(self):
         roster = self.make_roster('one')
         await roster.join()
-        await self.hear(roster)
+        await self.apply_changes(roster)
         await roster.leave()
         self.assertIsNone(self.rows.get(FLEET_TABLE, roster.key).value)
 
 
 class TestLeave(RosterCase):
     async def test_regression_row_is_removed_that_was_never_seen(self):
-        # A router that stopped before its watch had told it of its own row
-        # left that behind, and was counted for 15 minutes.
+        # A router that stopped before its watch had read its own row did not
+        # remove that, and was counted for another 15 minutes.
         roster = self.make_roster('one')
         await roster.join()
         await roster.leave()
@@ -163,25 +163,25 @@
     async def test_regression_row_is_not_written_after_it_was_removed(self):
         roster = self.make_roster('one')
         await roster.join()
-        await self.hear(roster)
+        await self.apply_changes(roster)
         await roster.leave()
         await roster.refresh()
         async with asyncio.timeout(WAIT_SECONDS):
             await roster.join()
         self.assertIsNone(self.rows.get(FLEET_TABLE, 'router/one').value)
 
-    async def test_older_news_of_the_row_do_not_hinder_its_removal(self):
+    async def test_older_version_of_the_row_does_not_prevent_its_removal(self):
         roster = self.make_roster('one')
         await roster.join()
         await roster.refresh()
-        await self.hear(roster)
+        await self.apply_changes(roster)
         await roster.leave()
         self.assertIsNone(self.rows.get(FLEET_TABLE, 'router/one').value)
 
 
 class TestRestoredStore(RosterCase):
-    def take_restored(self, roster, *rows):
-        """Take in rows as after a restore of the store."""
+    def apply_restored(self, roster, *rows):
+        """Apply rows as after a restore of the store."""
         for key, value, origin in rows:
             version = build_version(1, 5)
             roster.take(VersionedRow(key, value, version, origin))
@@ -191,9 +191,9 @@
         one = self.make_roster('one')
         running = asyncio.create_task(one.run())
         await self.run_pending_tasks()
-        await self.hear(one)
+        await self.apply_changes(one)
         self.rows.put(FLEET_TABLE, one.key, None)
-        self.take_restored(one, (one.key, None, RowOrigin.LOST))
+        self.apply_restored(one, (one.key, None, RowOrigin.LOST))
         await self.run_pending_tasks()
         row = self.rows.get(FLEET_TABLE, one.key)
         self.assertIsNotNone(row.value)
@@ -209,8 +209,8 @@
         one, other = self.make_roster('one'), self.make_roster('other')
         for roster in (one, other):
             await roster.join()
-        await self.hear(one)
-        self.take_restored(one, (other.key, None, RowOrigin.LOST))
+        await self.apply_changes(one)
+        self.apply_restored(one, (other.key, None, RowOrigin.LOST))
         self.pass_time(LOST_GRACE_SECONDS - 0.1)
         self.assertEqual(one.live, 2)
         self.pass_time(0.2)
@@ -222,9 +222,9 @@
         one, other = self.make_roster('one'), self.make_roster('other')
         for roster in (one, other):
             await roster.join()
-        await self.hear(one)
+        await self.apply_changes(one)
         value = self.rows.get(FLEET_TABLE, other.key).value
-        self.take_restored(
+        self.apply_restored(
             one,
             (other.key, None, RowOrigin.LOST),
             (other.key, value, RowOrigin.WRITTEN),
@@ -233,13 +233,13 @@
         self.assertEqual(one.live, 2)
 
     async def test_regression_router_that_had_left_was_counted_again(self):
-        # An undeleted row was taken for that of a live router.
+        # An undeleted row was counted as that of a live router.
         one, two = self.make_roster('one'), self.make_roster('two')
         gone = self.make_roster('gone')
         for roster in (one, two, gone):
             await roster.join()
         for roster in (one, two):
-            await self.hear(roster)
+            await self.apply_changes(roster)
         row = self.rows.get(FLEET_TABLE, gone.key)
         for roster in (one, two):
             roster.take(VersionedRow(gone.key, None, row.version + 1))
@@ -261,7 +261,7 @@
         await self.run_pending_tasks()
         self.rows.put(FLEET_TABLE, one.key, None)
         value = self.rows.get(FLEET_TABLE, other.key).value
-        self.take_restored(one, (other.key, value, RowOrigin.RESTORED))
+        self.apply_restored(one, (other.key, value, RowOrigin.RESTORED))
         await self.run_pending_tasks()
         row = self.rows.get(FLEET_TABLE, one.key)
         self.assertIsNotNone(row.value)
--- a/tests/cover/test_upstream_life_model.py
+++ b/tests/cover/test_upstream_life_model.py
@@ -10,17 +10,17 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""A model of an upstream's life as a router sees it.
+"""A model of the states of an upstream in a router.
 
-| state | entered by | gets work |
+| state | entered when | gets work |
 |---|---|---|
-| ready | its entry | yes |
-| draining | its entry says so | no, and never again |
-| lapsed | its entry goes around an outage of the store | for 1.8 s |
-| back | its entry returns | yes |
-| gone | its entry goes otherwise, or does not return | no |
-| misdirected | another start answers at its address | no, until forgotten |
-| grey | three failures in a row | when no other is left |
+| ready | its entry is listed | yes |
+| draining | its entry is marked so | no, and never again |
+| expired | its entry is removed around a store outage | for 1.8 s |
+| restored | its entry returns | yes |
+| removed | its entry is removed otherwise, or does not return | no |
+| misdirected | another start answers at its address | no, until removed |
+| failing | three requests in a row fail | if no other is left |
 """
 
 import unittest
@@ -46,7 +46,7 @@
 
 
 class NoChance:
-    """A random source without chance."""
+    """A random source that always returns zero."""
 
     def random(self):
         return 0.0
@@ -131,13 +131,13 @@
             upstream.breaker.note_success()
         self.failures[name] = 0
 
-    def list_available(self):
+    def list_fit(self):
         return {item.instance for item in self.directory.list_available('s')}
 
     @stateful.invariant()
     def only_those_that_may_have_work_get_it(self):
         now = self.clock.monotonic()
-        for name in self.list_available():
+        for name in self.list_fit():
             assert self.listed[name] == 'ready', name
             assert name not in self.misdirected, name
             if name in self.removed_at:
@@ -146,7 +146,7 @@
 
     @stateful.invariant()
     def those_that_are_listed_get_work(self):
-        fit = self.list_available()
+        fit = self.list_fit()
         for name, state in self.listed.items():
             present = name not in self.removed_at
             if present and state == 'ready' and name not in self.misdirected:
@@ -166,14 +166,14 @@
 
 
 class ForgivingDirectory(UpstreamDirectory):
-    """Planted fault: what is removed is always taken to have lapsed."""
+    """Planted fault: each removed entry counts as expired in an outage."""
 
     def _may_return(self, upstream):
         return not upstream.entry.draining
 
 
 class HastyDirectory(UpstreamDirectory):
-    """Planted fault: a draining entry is read like any other."""
+    """Planted fault: draining entries count as ready."""
 
     def list_available(self, service):
         self._forget_lapsed()
@@ -181,7 +181,7 @@
 
 
 class PatientBreaker(Breaker):
-    """Planted fault: failures never add up."""
+    """Planted fault: failures are not counted."""
 
     def note_failure(self, now):
         self._failures = 0
--- a/tests/cover/test_upstream_starts.py
+++ b/tests/cover/test_upstream_starts.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Tests of upstreams that start again under the name that they had."""
+"""Tests of upstreams that restart under the same name."""
 
 import asyncio
 import unittest
@@ -39,7 +39,7 @@
 
 
 class StartCase(DirectoryCase):
-    def list_start(self, born=FIRST, weights=1, **fields):
+    def put_entry(self, born=FIRST, weights=1, **fields):
         models = [{'name': 'm', 'version': weights}]
         entry = make_entry(models=models, **fields)
         if born is not None:
@@ -48,9 +48,9 @@
         return self.directory.get('e1')
 
 
-class TestOrder(unittest.TestCase):
+class TestCompareStarts(unittest.TestCase):
     def test_table(self):
-        for known, told, order in (
+        for known, reported, order in (
             (FIRST, FIRST, StartOrder.SAME),
             (FIRST, SECOND, StartOrder.NEWER),
             (SECOND, FIRST, StartOrder.OLDER),
@@ -58,13 +58,13 @@
             (None, FIRST, StartOrder.NEWER),
             (None, None, StartOrder.SAME),
         ):
-            with self.subTest(known=known, told=told):
-                self.assertIs(compare_starts(known, told), order)
+            with self.subTest(known=known, reported=reported):
+                self.assertIs(compare_starts(known, reported), order)
 
 
 class TestEntries(StartCase):
     def test_new_start_inherits_nothing(self):
-        old = self.list_start()
+        old = self.put_entry()
         now = self.clock.monotonic()
         old.note_weights('m', 7, now)
         old.note_sent(1, now, unread=4000)
@@ -73,7 +73,7 @@
         old.in_flight = old.peers_in_flight = old.peers_unread = 3
         old.misdirected = True
         old.busy_until = now + 9
-        new = self.list_start(SECOND, weights=2)
+        new = self.put_entry(SECOND, weights=2)
         self.assertIsNot(new, old)
         self.assertEqual(new.weights, {'m': 2})
         self.assertEqual((new.in_flight, new.pending), (0, {}))
@@ -84,64 +84,64 @@
         self.assertIsNone(self.directory.get_start(old.start))
 
     def test_new_start_of_one_that_was_leaving_is_used(self):
-        self.list_start(state='draining')
+        self.put_entry(state='draining')
         self.assertEqual(self.list_available(), [])
-        self.list_start(SECOND)
+        self.put_entry(SECOND)
         self.assertEqual(self.list_available(), ['e1'])
 
     def test_late_entry_of_an_older_start_is_not_believed(self):
-        new = self.list_start(SECOND, weights=3)
-        self.list_start(FIRST, state='draining')
+        new = self.put_entry(SECOND, weights=3)
+        self.put_entry(FIRST, state='draining')
         self.assertIs(self.directory.get('e1'), new)
         self.assertEqual(self.list_available(), ['e1'])
 
     def test_same_start_keeps_what_was_learned(self):
-        old = self.list_start()
+        old = self.put_entry()
         for born in (FIRST, None):
-            self.assertIs(self.list_start(born), old)
+            self.assertIs(self.put_entry(born), old)
         self.assertEqual(old.entry.born, FIRST)
 
     def test_other_address_is_another_start(self):
-        old = self.list_start()
-        self.assertIsNot(self.list_start(address='127.0.0.1:10'), old)
+        old = self.put_entry()
+        self.assertIsNot(self.put_entry(address='127.0.0.1:10'), old)
 
-    def test_weights_that_went_back_are_believed_once_it_is_no_lag(self):
-        upstream = self.list_start()
+    def test_older_weights_are_applied_after_the_lag_of_entries(self):
+        upstream = self.put_entry()
         upstream.note_weights('m', 3, self.clock.monotonic())
-        self.list_start(weights=2)
+        self.put_entry(weights=2)
         self.assertEqual(upstream.weights, {'m': 3})
         self.clock.advance(ENTRY_LAG_SECONDS + 0.1)
-        self.list_start(weights=2)
+        self.put_entry(weights=2)
         self.assertEqual(upstream.weights, {'m': 2})
 
 
 class TestOtherRouters(StartCase):
-    def test_load_at_another_start_counts_for_nothing(self):
-        old = self.list_start()
+    def test_load_of_another_start_is_ignored(self):
+        old = self.put_entry()
         roster = Roster(MemoryRows(), self.clock, 'me', 'a')
         loads = PeerLoads(
             'me', self.directory, roster, SharedParts(), self.clock
         )
         report = LoadReport('r', 1, [UpstreamLoad(old.digest, 4, 900)])
-        new = self.list_start(SECOND)
+        new = self.put_entry(SECOND)
         loads.note(report)
         self.assertEqual((new.peers_in_flight, new.peers_unread), (0, 0))
         again = LoadReport('r', 2, [UpstreamLoad(new.digest, 1, 0)])
         loads.note(again)
         self.assertEqual(new.peers_in_flight, 1)
 
-    def test_plan_tells_of_one_start_only(self):
-        old = self.list_start()
+    def test_plan_applies_to_one_start_only(self):
+        old = self.put_entry()
         view = WeightsView(self.directory, self.clock)
-        new = self.list_start(SECOND)
+        new = self.put_entry(SECOND)
         plan = WeightsPlan('r', 'm', 5, [old.start], [old.start])
         view.note(plan, 9)
         self.assertEqual(new.weights, {'m': 1})
         self.assertEqual(new.busy_until, 0.0)
 
 
-class StartedAgain:
-    """An engine whose reports are those of the start that it is given."""
+class RestartedEngine:
+    """An engine that reports the start time that it is given."""
 
     def __init__(self, born):
         self.born = born
@@ -153,7 +153,7 @@
 class TestReports(StartCase):
     def read(self, upstream, born):
         tracker = LoadTracker(
-            'm', StartedAgain(born), self.directory, self.clock
+            'm', RestartedEngine(born), self.directory, self.clock
         )
         tracker.add(upstream, LoadOrder('m', 2, 'r', 1, 0), True)
         state = asyncio.run(tracker.read_state(upstream))
@@ -162,16 +162,16 @@
         return state, len(tracker)
 
     def test_report_of_the_known_start_is_believed(self):
-        state, loading = self.read(self.list_start(), FIRST)
+        state, loading = self.read(self.put_entry(), FIRST)
         self.assertEqual(state.orders_accepted, 0)
         self.assertEqual(loading, 1)
 
     def test_report_without_a_start_is_believed(self):
-        state, _ = self.read(self.list_start(), None)
+        state, _ = self.read(self.put_entry(), None)
         self.assertIsNotNone(state)
 
-    def test_report_of_a_newer_start_ends_what_the_old_one_was_ordered(self):
-        old = self.list_start(weights=4)
+    def test_report_of_a_newer_start_ends_the_orders_of_the_old_one(self):
+        old = self.put_entry(weights=4)
         state, loading = self.read(old, SECOND)
         self.assertIsNone(state)
         self.assertEqual(loading, 0)
@@ -180,7 +180,7 @@
         self.assertEqual(new.weights, {'m': 1})
 
     def test_report_of_an_older_start_is_not_believed(self):
-        new = self.list_start(SECOND)
+        new = self.put_entry(SECOND)
         state, _ = self.read(new, FIRST)
         self.assertIsNone(state)
         self.assertIs(self.directory.get('e1'), new)
--- a/tests/support/directories.py
+++ b/tests/support/directories.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""A directory of upstreams that a test fills by hand."""
+"""A test case with a directory of upstreams."""
 
 import datetime
 import unittest
@@ -27,7 +27,7 @@
 
 
 class DirectoryCase(unittest.TestCase):
-    """Has a directory and a clock of its own."""
+    """Has an empty directory and a manual clock."""
 
     def setUp(self):
         self.clock = ManualClock(START)
--- a/tests/support/entries.py
+++ b/tests/support/entries.py
@@ -10,11 +10,11 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Entries of upstreams as the platform's pages promise them."""
+"""Entries of upstreams in the documented format of the platform."""
 
 
 def make_entry(**fields: object) -> dict[str, object]:
-    """Return a plain service's entry, with ``fields`` in place of its own."""
+    """Return an entry of a plain service, updated with ``fields``."""
     return {
         'service': 's',
         'address': '127.0.0.1:9',
