--- a/src/lifttrestle/internal/fleet/state/shutdown.py
+++ b/src/lifttrestle/internal/fleet/state/shutdown.py
@@ -24,7 +24,7 @@
 # 0.9 ms (20 planned stops, processor time). The reserves are for a VM that is
 # slow at that time.
 END_SHARE = 0.06
-CUT_SHARE = 0.035
+ABORT_SHARE = 0.035
 FLUSH_SHARE = 0.0125
 EXIT_SHARE = 0.0125
 
@@ -72,7 +72,7 @@
 
     def get_abort_seconds(self) -> float:
         """Return the seconds until answers in progress are aborted."""
-        return self._get_seconds_until(CUT_SHARE)
+        return self._get_seconds_until(ABORT_SHARE)
 
     def get_flush_seconds(self) -> float:
         """Return the seconds for flushing the last bytes of answers."""
