--- a/src/lifttrestle/internal/fleet/path/attempt.py
+++ b/src/lifttrestle/internal/fleet/path/attempt.py
@@ -126,9 +126,9 @@
         return await read()
     began = clock.monotonic()
     while True:
-        silent_seconds = clock.monotonic() - max(upstream.heard_at, began)
+        silent_seconds = clock.monotonic() - max(upstream.last_received_at, began)
         unreachable = (
-            upstream.reach.unreached and silent_seconds >= SILENT_SECONDS
+            upstream.reach.unreachable and silent_seconds >= SILENT_SECONDS
         )
         if (
             unreachable or silent_seconds >= inactivity_seconds
--- a/src/lifttrestle/internal/fleet/path/candidates.py
+++ b/src/lifttrestle/internal/fleet/path/candidates.py
@@ -62,7 +62,7 @@
         fit = [
             upstream
             for upstream in self.list_fit(admitted, service)
-            if not upstream.reach.unreached
+            if not upstream.reach.unreachable
         ]
         fit = self._select_permitted(fit, get_urgency(admitted), repeated)
         generation = self._facts.generation
@@ -130,7 +130,7 @@
         cap = max(cap // parts.roster.live, 1)
         found = [
             upstream
-            for upstream in parts.directory.list_fit(service)
+            for upstream in parts.directory.list_available(service)
             if self._excluded_until.get(upstream.start, now) <= now
             and upstream.in_flight < cap
         ]
@@ -149,7 +149,7 @@
         """Return whether a healthy upstream remains to fail over to."""
         now = self._parts.clock.monotonic()
         return any(
-            not upstream.is_doubtful(now)
+            not upstream.seems_down(now)
             for upstream in self.list_fit(admitted, service)
         )
 
@@ -164,7 +164,7 @@
     def _list_remaining(self, service: str) -> list[FleetUpstream]:
         return [
             upstream
-            for upstream in self._parts.directory.list_fit(service)
+            for upstream in self._parts.directory.list_available(service)
             if self._excluded_until.get(upstream.start) != FOREVER
-            and not upstream.reach.unreached
+            and not upstream.reach.unreachable
         ]
--- a/src/lifttrestle/internal/fleet/path/request_context.py
+++ b/src/lifttrestle/internal/fleet/path/request_context.py
@@ -201,7 +201,7 @@
         if self.progress.state is RequestState.FIRST_BYTE:
             return
         limit = self.get_remaining_seconds()
-        left = shutdown.get_serving_left()
+        left = shutdown.get_serving_seconds()
         if can_finish_in_time(limit, left):
             return
         raise RequestRefused(
--- a/src/lifttrestle/internal/fleet/state/peer_loads.py
+++ b/src/lifttrestle/internal/fleet/state/peer_loads.py
@@ -128,7 +128,7 @@
         if not report.for_aggregator:
             self.apply_report(report)
             return
-        self._parts.note_told(report.parts, self._clock.monotonic())
+        self._parts.note_reported(report.parts, self._clock.monotonic())
         self._aggregator.handle_report(report, self._clock.monotonic())
         self._usage_publisher.handle_member_report(
             report.vm, f'{ROUTER_PREFIX}{report.vm}', report.usage
@@ -159,7 +159,7 @@
     def _handle_fleet_sum(self, fleet_sum: FleetSum) -> None:
         """Apply a sum if it is from the aggregator of this router."""
         now = self._clock.monotonic()
-        self._parts.note_told(fleet_sum.parts, now)
+        self._parts.note_reported(fleet_sum.parts, now)
         if self._choice.note_answer(f'{ROUTER_PREFIX}{fleet_sum.vm}'):
             own = self._own_reports.get(fleet_sum.included, [])
             rest = subtract_loads(fleet_sum.loads, own)
@@ -174,7 +174,7 @@
 
     def apply_report(self, report: LoadReport) -> None:
         """Apply the report of a router unless a newer one has arrived."""
-        self._parts.note_told(report.parts, self._clock.monotonic())
+        self._parts.note_reported(report.parts, self._clock.monotonic())
         self._ledger.update(report.vm, report.number, report.loads)
         self._usage_publisher.handle_report(
             report.vm, f'{ROUTER_PREFIX}{report.vm}', report.usage
@@ -301,7 +301,7 @@
             for upstream in self._directory
             if upstream.in_flight
         ]
-        parts = self._parts.take_news()
+        parts = self._parts.pop_updates()
         self._usage_roles.update(self._choice.choose())
         if uses_aggregation(self._roster.live):
             self._send_to_aggregator(loads, parts, is_query=is_query)
--- a/tests/cover/test_fleet_parts.py
+++ b/tests/cover/test_fleet_parts.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""The small parts of a fleet router, each by itself."""
+"""Unit tests of small parts of a fleet router."""
 
 import unittest
 
@@ -22,7 +22,7 @@
 from lifttrestle.internal.fleet.path.event_relay import EventRelay
 from lifttrestle.internal.fleet.policy.retry_budget import SharedRetryBudget
 from lifttrestle.internal.fleet.settings import Promises
-from lifttrestle.internal.fleet.state.directory import RETURN_SECONDS
+from lifttrestle.internal.fleet.state.directory import OUTAGE_GRACE_SECONDS
 from lifttrestle.internal.fleet.state.upstream import SILENT_SECONDS
 from tests.support.directories import DirectoryCase
 from tests.support.directories import START
@@ -66,7 +66,7 @@
             whole = 0.2 * max(earned, earlier) + 56.0
             self.assertLessEqual(spent, whole)
 
-    def test_unknown_number_of_routers_counts_high(self):
+    def test_assumed_number_of_routers_leaves_a_small_budget(self):
         budget = SharedRetryBudget(Promises(retry_slack=24.0), make_clock())
         taken = 0
         while budget.take(12):
@@ -150,15 +150,17 @@
         self.put('c')
         self.put('a', state='draining')
         self.take('b', None)
-        self.assertEqual(self.list_fit(), ['c'])
+        self.assertEqual(self.list_available(), ['c'])
 
-    def test_entry_that_lapsed_in_an_outage_is_used_until_it_had_time(self):
+    def test_entry_that_expired_in_an_outage_is_used_for_the_grace_period(
+        self,
+    ):
         self.put('a')
         self.directory.outage_until = self.clock.monotonic()
         self.take('a', None)
-        self.assertEqual(self.list_fit(), ['a'])
-        self.clock.advance(RETURN_SECONDS + 0.1)
-        self.assertEqual(self.list_fit(), [])
+        self.assertEqual(self.list_available(), ['a'])
+        self.clock.advance(OUTAGE_GRACE_SECONDS + 0.1)
+        self.assertEqual(self.list_available(), [])
 
     def test_entry_that_returns_after_an_outage_stays(self):
         self.put('a')
@@ -167,7 +169,7 @@
         self.clock.advance(1.0)
         self.put('a')
         self.clock.advance(60.0)
-        self.assertEqual(self.list_fit(), ['a'])
+        self.assertEqual(self.list_available(), ['a'])
 
     def test_weights_never_go_back(self):
         self.put('a', models=[3])
@@ -180,7 +182,7 @@
         upstream.note_sent(1, 10.0)
         self.assertFalse(upstream.is_silent(10.0 + 0.9 * SILENT_SECONDS))
         self.assertTrue(upstream.is_silent(10.0 + 1.1 * SILENT_SECONDS))
-        upstream.heard_at = 12.0
+        upstream.last_received_at = 12.0
         self.assertFalse(upstream.is_silent(12.0 + 0.9 * SILENT_SECONDS))
         self.assertTrue(upstream.is_silent(12.0 + 1.1 * SILENT_SECONDS))
         upstream.note_ended(1)
--- a/tests/cover/test_peer_loads.py
+++ b/tests/cover/test_peer_loads.py
@@ -33,7 +33,7 @@
 from lifttrestle.internal.fleet.state.roster import Roster
 from lifttrestle.internal.fleet.state.roster import RouterRow
 from lifttrestle.internal.fleet.state.rows import VersionedRow
-from lifttrestle.internal.fleet.state.shared_parts import MAX_NEWS
+from lifttrestle.internal.fleet.state.shared_parts import MAX_UPDATES
 from lifttrestle.internal.fleet.state.shared_parts import SharedParts
 from lifttrestle.internal.fleet.state.upstream_entry import build_digest
 from lifttrestle.internal.http.address import Address
@@ -155,21 +155,21 @@
     def test_parts_that_one_router_had_read_are_known_to_the_others(self):
         sender, receiver = Router('a'), Router('b')
         parts = (PromptPart('aa', 400),)
-        sender.parts.note_read('salt', parts, 0.0)
-        news = sender.parts.take_news()
+        sender.parts.note_computed('salt', parts, 0.0)
+        news = sender.parts.pop_updates()
         receiver.loads.apply_report(LoadReport('a', 1, [], news))
         self.assertEqual(receiver.parts.count_unknown('salt', parts), 0)
         self.assertEqual(receiver.parts.count_unknown('other', parts), 400)
         # Received prefixes are not forwarded, and own ones are sent once.
-        self.assertEqual(receiver.parts.take_news(), [])
-        self.assertEqual(sender.parts.take_news(), [])
+        self.assertEqual(receiver.parts.pop_updates(), [])
+        self.assertEqual(sender.parts.pop_updates(), [])
 
     def test_report_stays_small_whatever_was_read(self):
         parts = SharedParts()
         many = tuple(PromptPart(f'{number}', 1) for number in range(450))
-        parts.note_read('salt', many, 0.0)
-        sizes = [len(parts.take_news()) for _ in range(4)]
-        self.assertEqual(sizes, [MAX_NEWS, MAX_NEWS, 50, 0])
+        parts.note_computed('salt', many, 0.0)
+        sizes = [len(parts.pop_updates()) for _ in range(4)]
+        self.assertEqual(sizes, [MAX_UPDATES, MAX_UPDATES, 50, 0])
 
 
 class TestDatagrams(unittest.IsolatedAsyncioTestCase):
