--- a/src/lifttrestle/internal/fleet/path/attempt.py
+++ b/src/lifttrestle/internal/fleet/path/attempt.py
@@ -126,7 +126,9 @@
         return await read()
     began = clock.monotonic()
     while True:
-        silent_seconds = clock.monotonic() - max(upstream.last_received_at, began)
+        silent_seconds = clock.monotonic() - max(
+            upstream.last_received_at, began
+        )
         unreachable = (
             upstream.reach.unreachable and silent_seconds >= SILENT_SECONDS
         )
