--- a/src/lifttrestle/internal/configuration/keeper.py
+++ b/src/lifttrestle/internal/configuration/keeper.py
@@ -25,11 +25,11 @@
 from lifttrestle.errors import ConditionFailed
 from lifttrestle.errors import PlatformUnavailable
 from lifttrestle.internal.configuration.document import Document
-from lifttrestle.internal.configuration.judgement import judge_plan
-from lifttrestle.internal.configuration.judgement import Judgement
 from lifttrestle.internal.configuration.plan import AcceptedChange
 from lifttrestle.internal.configuration.plan import Plan
 from lifttrestle.internal.configuration.plan import PlanState
+from lifttrestle.internal.configuration.plan_progress import judge_plan
+from lifttrestle.internal.configuration.plan_progress import Judgement
 from lifttrestle.internal.configuration.row_format import Versioned
 from lifttrestle.internal.configuration.store import ConfigurationStore
 from lifttrestle.internal.configuration.store import Heads
--- a/tests/cover/test_configuration_model.py
+++ b/tests/cover/test_configuration_model.py
@@ -33,11 +33,11 @@
 
 from lifttrestle.errors import ConditionFailed
 from lifttrestle.internal.configuration.change import Change
-from lifttrestle.internal.configuration.judgement import judge_plan
-from lifttrestle.internal.configuration.judgement import Judgement
 import lifttrestle.internal.configuration.keeper as keeper_module
 from lifttrestle.internal.configuration.keeper import ConfigurationKeeper
 from lifttrestle.internal.configuration.model import ItemKind
+from lifttrestle.internal.configuration.plan_progress import judge_plan
+from lifttrestle.internal.configuration.plan_progress import Judgement
 from lifttrestle.internal.configuration.planner import make_plan
 from lifttrestle.internal.configuration.store import ConfigurationStore
 from lifttrestle.internal.configuration.store import Heads
