--- a/src/lifttrestle/internal/configuration/keeper.py
+++ b/src/lifttrestle/internal/configuration/keeper.py
@@ -28,8 +28,8 @@
 from lifttrestle.internal.configuration.plan import AcceptedChange
 from lifttrestle.internal.configuration.plan import Plan
 from lifttrestle.internal.configuration.plan import PlanState
-from lifttrestle.internal.configuration.plan_progress import judge_plan
-from lifttrestle.internal.configuration.plan_progress import Judgement
+from lifttrestle.internal.configuration.plan_progress import compute_progress
+from lifttrestle.internal.configuration.plan_progress import PlanProgress
 from lifttrestle.internal.configuration.row_format import Versioned
 from lifttrestle.internal.configuration.store import ConfigurationStore
 from lifttrestle.internal.configuration.store import Heads
@@ -51,7 +51,7 @@
 
 
 @dataclasses.dataclass
-class PlatformSight:
+class PlatformStatus:
     """What the last polls of the platform have shown.
 
     :ivar table_up: whether the last poll of the table succeeded.
@@ -73,7 +73,7 @@
         poll_seconds: float,
         sponsorship: Sponsorship,
     ) -> None:
-        self.sight = PlatformSight()
+        self.platform_status = PlatformStatus()
         self._store = store
         self._member = member
         self._poll_seconds = poll_seconds
@@ -113,7 +113,7 @@
         """Set where peers reach this process, before the first poll."""
         self._member = msgspec.structs.replace(self._member, peers=address)
 
-    def poll_soon(self) -> None:
+    def request_poll(self) -> None:
         """Poll without waiting for the period to end."""
         self._wake.set()
 
@@ -148,7 +148,7 @@
         self._note_table()
         return True
 
-    async def leave(self) -> None:
+    async def deregister(self) -> None:
         """Take this process off the list of routers."""
         try:
             await self._store.remove_members({self._member.instance})
@@ -162,13 +162,13 @@
             return None
         return newer
 
-    def take_changes(self, changes: list[AcceptedChange]) -> None:
+    def apply_changes(self, changes: list[AcceptedChange]) -> None:
         """Apply accepted changes that a peer knows, in order."""
         for change in changes:
             if change.revision == self._view.revision + 1:
                 self._apply_change(change)
 
-    def take_document(
+    def apply_document(
         self,
         revision: int,
         document: Document,
@@ -186,18 +186,18 @@
         self._set_view(build_view(revision, document, proposal))
         LOG.info('configuration: revision %d from %s', revision, origin)
 
-    def take_proposal(self, plan: Plan) -> None:
+    def apply_proposal(self, plan: Plan) -> None:
         """Obey a proposal that a peer knows, without acknowledging it."""
         if plan.base != self._view.revision or self._view.proposal is not None:
             return
         self._obey(plan)
 
-    async def judge(self, plan: Plan) -> Judgement:
+    async def read_progress(self, plan: Plan) -> PlanProgress:
         """Return who has not acknowledged a proposed plan."""
         heads = await self._store.read_heads()
         acknowledged = await self._store.read_acknowledgements(plan.plan_id)
-        return judge_plan(
-            plan, heads.members.value, acknowledged, self.sight.vms
+        return compute_progress(
+            plan, heads.members.value, acknowledged, self.platform_status.vms
         )
 
     async def _register(self) -> None:
@@ -205,7 +205,7 @@
 
         So no change can be accepted without being acknowledged here.
         """
-        vms = self.sight.vms or {}
+        vms = self.platform_status.vms or {}
         listed = self._member.listed or self._member.vm in vms
         if self._registered and listed == self._member.listed:
             return
@@ -219,12 +219,12 @@
         head = heads.head.value
         if not self._loaded:
             revision, document = await self._store.load_document()
-            self.take_document(revision, document, None, 'the table')
+            self.apply_document(revision, document, None, 'the table')
         if head.revision > self._view.revision:
             changes = await self._store.read_changes(
                 self._view.revision, head.revision
             )
-            self.take_changes(changes)
+            self.apply_changes(changes)
         if head.revision < self._view.revision:
             return
         await self._follow_proposal(heads)
@@ -242,7 +242,7 @@
             return Heads(head, self._members)
         heads = await self._store.read_heads()
         self._members = heads.members
-        self.sight.members = heads.members.value
+        self.platform_status.members = heads.members.value
         if not heads.members.value.has(self._member.instance):
             # Taken for gone: what was accepted since did not wait for us.
             LOG.warning('configuration: not on the list any more')
@@ -286,8 +286,11 @@
         acknowledged = await self._store.read_acknowledgements(
             plan.value.plan_id
         )
-        judgement = judge_plan(
-            plan.value, heads.members.value, acknowledged, self.sight.vms
+        judgement = compute_progress(
+            plan.value,
+            heads.members.value,
+            acknowledged,
+            self.platform_status.vms,
         )
         if not judgement.complete:
             return
@@ -297,7 +300,7 @@
         accepted = AcceptedChange(
             revision, plan.value.plan_id, plan.value.changes
         )
-        self.take_changes([accepted])
+        self.apply_changes([accepted])
 
     def _obey(self, plan: Plan) -> None:
         self._set_view(
@@ -324,10 +327,10 @@
         if self._outage_told:
             self._outage_told = False
             LOG.info('configuration: the table service answers')
-        self.sight.table_up = True
+        self.platform_status.table_up = True
 
     def _note_outage(self, error: PlatformUnavailable) -> None:
         if not self._outage_told:
             self._outage_told = True
             LOG.warning('configuration: no table service: %s', error)
-        self.sight.table_up = False
+        self.platform_status.table_up = False
--- a/src/lifttrestle/internal/configuration/large_changes.py
+++ b/src/lifttrestle/internal/configuration/large_changes.py
@@ -30,7 +30,7 @@
     def __init__(self, objects: ObjectStore) -> None:
         self._objects = objects
 
-    async def pack(self, revision: int, plan: Plan) -> AcceptedChange:
+    async def offload(self, revision: int, plan: Plan) -> AcceptedChange:
         """Return the change to store, its content put aside if large."""
         body = msgspec.json.encode(plan.changes)
         if len(body) <= MAX_ROW_BYTES:
@@ -39,7 +39,7 @@
         await self._objects.put(key, body)
         return AcceptedChange(revision, plan.plan_id, object_key=key)
 
-    async def fill(self, change: AcceptedChange) -> AcceptedChange:
+    async def load(self, change: AcceptedChange) -> AcceptedChange:
         """Return a stored change with its content."""
         if not change.object_key:
             return change
--- a/src/lifttrestle/internal/configuration/plan_progress.py
+++ b/src/lifttrestle/internal/configuration/plan_progress.py
@@ -21,7 +21,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Judgement:
+class PlanProgress:
     """The routers that a plan still waits for, and those that are gone.
 
     :ivar gone: instances whose VM is no longer listed.
@@ -43,12 +43,12 @@
         return groups
 
 
-def judge_plan(
+def compute_progress(
     plan: Plan,
     members: Members,
     acknowledged: set[str],
     vms: dict[str, Vm] | None,
-) -> Judgement:
+) -> PlanProgress:
     """Judge a proposed plan.
 
     :param acknowledged: the instances that obey the plan already.
@@ -67,4 +67,4 @@
             gone.append(member)
             continue
         waiting.append(member)
-    return Judgement(tuple(waiting), tuple(gone))
+    return PlanProgress(tuple(waiting), tuple(gone))
--- a/src/lifttrestle/internal/configuration/store.py
+++ b/src/lifttrestle/internal/configuration/store.py
@@ -101,7 +101,7 @@
         changes = []
         for key in wanted:
             change = decode_existing(rows, key, AcceptedChange)
-            changes.append(await self._large_changes.fill(change))
+            changes.append(await self._large_changes.load(change))
         return changes
 
     async def read_plan(self, plan_id: str) -> Versioned[Plan] | None:
@@ -187,7 +187,7 @@
         """
         revision = heads.head.value.revision + 1
         plan_id = plan.value.plan_id
-        change = await self._large_changes.pack(revision, plan.value)
+        change = await self._large_changes.offload(revision, plan.value)
         accepted = msgspec.structs.replace(
             plan.value, state=PlanState.ACCEPTED, revision=revision
         )
--- a/src/lifttrestle/internal/membership/exchange.py
+++ b/src/lifttrestle/internal/membership/exchange.py
@@ -101,7 +101,7 @@
     def _list_addresses(self) -> list[str]:
         registered = [
             member.peers
-            for member in self._keeper.sight.members.routers
+            for member in self._keeper.platform_status.members.routers
             if member.data_centre == self._member.data_centre
         ]
         known = {*registered, *self._seeds, *self._peers.list_addresses()}
@@ -173,12 +173,12 @@
             self.sponsor_heard_at = now
         if reply.document is not None:
             document = Document().apply(reply.document)
-            self._keeper.take_document(
+            self._keeper.apply_document(
                 reply.revision, document, reply.proposal
             )
-        self._keeper.take_changes(list(reply.changes))
+        self._keeper.apply_changes(list(reply.changes))
         if reply.proposal is not None and reply.registered:
-            self._keeper.take_proposal(reply.proposal)
+            self._keeper.apply_proposal(reply.proposal)
 
 
 async def exchange_forever(
--- a/src/lifttrestle/internal/operators/intent.py
+++ b/src/lifttrestle/internal/operators/intent.py
@@ -91,7 +91,7 @@
         plan = await self._persist(lambda: self._propose(plan_id))
         end = self._clock.monotonic() + wait_seconds
         while not self._is_settled(plan):
-            self._keeper.poll_soon()
+            self._keeper.request_poll()
             await asyncio.sleep(STEP_SECONDS)
             try:
                 plan = (await self._read_plan(plan_id)).value
@@ -113,7 +113,7 @@
     async def withdraw(self, plan_id: str) -> PlanOutcome:
         """Take a plan back that is not accepted yet."""
         plan = await self._persist(lambda: self._withdraw(plan_id))
-        self._keeper.poll_soon()
+        self._keeper.request_poll()
         return PlanOutcome(plan, {})
 
     async def _propose(self, plan_id: str) -> Plan:
@@ -204,7 +204,7 @@
     async def _describe(self, plan: Plan) -> PlanOutcome:
         if plan.state is not PlanState.PROPOSED:
             return PlanOutcome(plan, {})
-        judgement = await self._keeper.judge(plan)
+        judgement = await self._keeper.read_progress(plan)
         return PlanOutcome(plan, judgement.group_waiting())
 
 
--- a/src/lifttrestle/internal/operators/status.py
+++ b/src/lifttrestle/internal/operators/status.py
@@ -51,7 +51,7 @@
 def build_status(parts: RouterParts, readiness: Readiness) -> RouterStatus:
     """Return the status at this moment."""
     view = parts.keeper.view
-    members = parts.keeper.sight.members.routers
+    members = parts.keeper.platform_status.members.routers
     return RouterStatus(
         router=parts.settings.router.name,
         data_centre=parts.settings.router.data_centre,
@@ -59,7 +59,7 @@
         revision=view.revision,
         digest=view.accepted.digest,
         proposal=view.proposal.plan_id if view.proposal else '',
-        table_up=parts.keeper.sight.table_up,
+        table_up=parts.keeper.platform_status.table_up,
         live_routers=parts.peers.count_live(),
         routers=tuple(f'{item.data_centre}/{item.name}' for item in members),
         upstreams=tuple(_describe(upstream) for upstream in parts.registry),
--- a/src/lifttrestle/internal/router/caller_handler.py
+++ b/src/lifttrestle/internal/router/caller_handler.py
@@ -198,7 +198,7 @@
         try:
             async with asyncio.timeout(seconds):
                 while keeper.view.is_held(kind, name):
-                    keeper.poll_soon()
+                    keeper.request_poll()
                     await keeper.wait_for_change()
         except TimeoutError:
             raise RequestRefused(
--- a/src/lifttrestle/internal/router/process.py
+++ b/src/lifttrestle/internal/router/process.py
@@ -281,7 +281,7 @@
         while True:
             try:
                 vms = await self._vms.list_vms()
-                self._keeper.sight.vms = vms
+                self._keeper.platform_status.vms = vms
                 self._parts.registry.apply_vms(vms)
                 self._sponsorship.drop_gone(set(vms))
             except PlatformUnavailable as error:
@@ -312,7 +312,7 @@
             task.remove_done_callback(self._note_control_end)
             task.cancel()
         await asyncio.gather(*self._control, return_exceptions=True)
-        await self._keeper.leave()
+        await self._keeper.deregister()
 
     def _watch_signals(self) -> None:
         loop = asyncio.get_running_loop()
--- a/tests/cover/test_configuration_model.py
+++ b/tests/cover/test_configuration_model.py
@@ -36,8 +36,8 @@
 import lifttrestle.internal.configuration.keeper as keeper_module
 from lifttrestle.internal.configuration.keeper import ConfigurationKeeper
 from lifttrestle.internal.configuration.model import ItemKind
-from lifttrestle.internal.configuration.plan_progress import judge_plan
-from lifttrestle.internal.configuration.plan_progress import Judgement
+from lifttrestle.internal.configuration.plan_progress import compute_progress
+from lifttrestle.internal.configuration.plan_progress import PlanProgress
 from lifttrestle.internal.configuration.planner import make_plan
 from lifttrestle.internal.configuration.store import ConfigurationStore
 from lifttrestle.internal.configuration.store import Heads
@@ -217,7 +217,7 @@
     def see_vms(self, name: str) -> None:
         router = self.routers.get(name)
         if router is not None:
-            router.keeper.sight.vms = dict(self.vms)
+            router.keeper.platform_status.vms = dict(self.vms)
             router.sponsorship.drop_gone(set(self.vms))
 
     @stateful.rule(one=ANY_ROUTER, two=ANY_ROUTER)
@@ -244,14 +244,14 @@
             return
         known = asked.keeper.view
         if not asker.keeper.loaded:
-            asker.keeper.take_document(
+            asker.keeper.apply_document(
                 known.revision, known.accepted, known.proposal
             )
             return
         changes = asked.keeper.list_changes_after(view.revision)
-        asker.keeper.take_changes(changes or [])
+        asker.keeper.apply_changes(changes or [])
         if known.proposal is not None and asked.keeper.registered:
-            asker.keeper.take_proposal(known.proposal)
+            asker.keeper.apply_proposal(known.proposal)
 
     @stateful.invariant()
     def check_places(self) -> None:
@@ -307,11 +307,11 @@
 
     def test_model_finds_that_silence_is_taken_for_death(self) -> None:
         def judge_silent_gone(plan, members, acknowledged, vms):  # noqa
-            judgement = judge_plan(plan, members, acknowledged, vms)
-            return Judgement((), (*judgement.gone, *judgement.waiting))
+            judgement = compute_progress(plan, members, acknowledged, vms)
+            return PlanProgress((), (*judgement.gone, *judgement.waiting))
 
         with mock.patch.object(
-            keeper_module, 'judge_plan', autospec=True
+            keeper_module, 'compute_progress', autospec=True
         ) as judge:
             judge.side_effect = judge_silent_gone
             with self.assertRaises(AssertionError):
--- a/tests/cover/test_keeper.py
+++ b/tests/cover/test_keeper.py
@@ -46,7 +46,7 @@
                 await gate.decide(call, Fate.ANSWERED)
             # Said again after each answer, so also after the last of them.
             if gate.scans:
-                keeper.take_document(1, NEWER, None)
+                keeper.apply_document(1, NEWER, None)
             await settle_loop()
         self.assertEqual(keeper.view.revision, 1)
 
--- a/tests/cover/test_large_changes.py
+++ b/tests/cover/test_large_changes.py
@@ -49,22 +49,22 @@
 
     async def test_small_change_stays_in_its_row(self):
         plan = make_plan(100)
-        stored = await self.large_changes.pack(4, plan)
+        stored = await self.large_changes.offload(4, plan)
         self.assertEqual(stored.changes, plan.changes)
         self.assertEqual(self.objects.bodies, {})
-        self.assertEqual(await self.large_changes.fill(stored), stored)
+        self.assertEqual(await self.large_changes.load(stored), stored)
 
     async def test_large_change_is_put_aside_and_found_again(self):
         plan = make_plan(MAX_ROW_BYTES)
-        stored = await self.large_changes.pack(4, plan)
+        stored = await self.large_changes.offload(4, plan)
         self.assertEqual(stored.changes, ())
         self.assertEqual(list(self.objects.bodies), [stored.object_key])
-        filled = await self.large_changes.fill(stored)
+        filled = await self.large_changes.load(stored)
         self.assertEqual(filled.changes, plan.changes)
         self.assertEqual((filled.revision, filled.plan_id), (4, 'p'))
 
     async def test_change_whose_object_is_missing_is_not_taken_for_empty(self):
-        stored = await self.large_changes.pack(4, make_plan(MAX_ROW_BYTES))
+        stored = await self.large_changes.offload(4, make_plan(MAX_ROW_BYTES))
         self.objects.bodies.clear()
         with self.assertRaisesRegex(PlatformUnavailable, stored.object_key):
-            await self.large_changes.fill(stored)
+            await self.large_changes.load(stored)
