--- a/src/lifttrestle/internal/configuration/change.py
+++ b/src/lifttrestle/internal/configuration/change.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""One change to one item of the configuration."""
+"""A change to one item of the configuration."""
 
 import msgspec
 
@@ -18,9 +18,9 @@
 
 
 class Change(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Sets an item to a new body, or removes it.
+    """Replaces an item by a new body, or removes it.
 
-    :ivar body: the whole new item, or None to remove it.
+    :ivar body: the complete new item as JSON types, or None to remove it.
     """
 
     kind: ItemKind
--- a/src/lifttrestle/internal/configuration/document.py
+++ b/src/lifttrestle/internal/configuration/document.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""A whole configuration at one revision, immutable."""
+"""The complete configuration at one revision, immutable."""
 
 from collections.abc import Mapping
 import dataclasses
@@ -38,7 +38,7 @@
 
     @functools.cached_property
     def workspace_by_token(self) -> dict[str, str]:
-        """Return the workspace's name for each token digest."""
+        """Return the names of the workspaces by token digest."""
         return {
             digest: workspace.name
             for workspace in self.workspaces.values()
@@ -55,7 +55,10 @@
         return tables[kind]
 
     def apply(self, changes: tuple[Change, ...]) -> 'Document':
-        """Return the document after ``changes``; this one stays as it is."""
+        """Return a copy of this document with ``changes`` applied.
+
+        :raises msgspec.ValidationError: if the body of a change is invalid.
+        """
         tables = {kind: dict(self.get_items(kind)) for kind in ItemKind}
         for change in changes:
             table = tables[change.kind]
@@ -70,7 +73,7 @@
         )
 
     def list_changes(self) -> tuple[Change, ...]:
-        """Return the changes that make this document from an empty one."""
+        """Return the changes that build this document from an empty one."""
         return tuple(
             Change(kind, name, encode_item(item))
             for kind in ItemKind
@@ -79,19 +82,22 @@
 
     @functools.cached_property
     def digest(self) -> str:
-        """Return a digest that equal documents share."""
-        whole = msgspec.json.encode(self.list_changes(), order='sorted')
-        return hashlib.sha256(whole).hexdigest()
+        """Return the SHA-256 digest, in hexadecimal, of the content.
+
+        Equal documents have equal digests.
+        """
+        encoded = msgspec.json.encode(self.list_changes(), order='sorted')
+        return hashlib.sha256(encoded).hexdigest()
 
 
 def convert_item(kind: ItemKind, body: dict[str, object]) -> Item:
-    """Return the validated item of a change's body.
+    """Validate the body of a change and return it as an item.
 
-    :raises msgspec.ValidationError: naming the field that is wrong.
+    :raises msgspec.ValidationError: naming the invalid field.
     """
     return msgspec.convert(body, ITEM_MODELS[kind], strict=False)
 
 
 def encode_item(item: Item) -> dict[str, object]:
-    """Return an item as plain JSON types."""
+    """Return an item as built-in JSON types."""
     return msgspec.to_builtins(item)
--- a/src/lifttrestle/internal/configuration/keeper.py
+++ b/src/lifttrestle/internal/configuration/keeper.py
@@ -10,10 +10,10 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Keeps one router's view of the configuration up to date.
+"""Keeps the view that one router has of the configuration up to date.
 
-The task that runs ``run`` owns the view. Others read it, wait for it to
-change, or hand it what a peer has told.
+The task that runs ``run`` polls the table service. Other tasks read the view,
+wait until it changes, or pass on what a peer has sent.
 """
 
 import asyncio
@@ -42,19 +42,20 @@
 from lifttrestle.internal.store.vm import Vm
 
 LOG = logging.getLogger('lifttrestle.configuration')
-# Changes kept for peers that are a little behind.
-KEPT_CHANGES = 256
-# While the fate of a proposal is open, polls are this much closer.
-PROPOSAL_POLL_SHARE = 0.5
-# How many polls pass between two readings of the list of routers.
-MEMBERS_EVERY_POLLS = 10
+# Accepted changes kept for peers that lag by a few revisions.
+MAX_RECENT_CHANGES = 256
+# While a proposal is pending, the poll interval is multiplied by this.
+PROPOSAL_POLL_FACTOR = 0.5
+# Without a proposal, the list of routers is read once in so many polls.
+POLLS_PER_MEMBERS_READ = 10
 
 
 @dataclasses.dataclass
 class PlatformStatus:
-    """What the last polls of the platform have shown.
+    """What the last polls of the platform returned.
 
     :ivar table_up: whether the last poll of the table succeeded.
+    :ivar members: the registered routers, as read last.
     :ivar vms: the VM list, or None until it was read once.
     """
 
@@ -64,7 +65,13 @@
 
 
 class ConfigurationKeeper:
-    """Polls the table, acknowledges proposals and accepts complete ones."""
+    """Polls the table, acknowledges proposals and accepts complete ones.
+
+    :param member: the entry of this process in the list of routers.
+    :param poll_seconds: interval between two polls without a proposal.
+    :param sponsorship: unregistered routers that must enforce a proposal
+        before this one acknowledges it.
+    """
 
     def __init__(
         self,
@@ -81,7 +88,7 @@
         self._view = EMPTY_VIEW
         self._loaded = False
         self._registered = False
-        self._outage_told = False
+        self._outage_logged = False
         self._acknowledged = ''
         self._polls = 0
         self._members: Versioned[Members] = Versioned(Members(), 0)
@@ -91,34 +98,34 @@
 
     @property
     def view(self) -> View:
-        """Return the view that requests obey now."""
+        """Return the view that applies to new requests."""
         return self._view
 
     @property
     def loaded(self) -> bool:
-        """Return whether a whole configuration was read from anywhere."""
+        """Return whether a configuration was read, from any source."""
         return self._loaded
 
     @property
     def registered(self) -> bool:
-        """Return whether this process stands in the list of routers."""
+        """Return whether this process is in the list of routers."""
         return self._registered
 
     @property
     def member(self) -> Member:
-        """Return this process as it stands in the list of routers."""
+        """Return the entry of this process in the list of routers."""
         return self._member
 
     def set_peers_address(self, address: str) -> None:
-        """Set where peers reach this process, before the first poll."""
+        """Set the address of this process for peers, before the first poll."""
         self._member = msgspec.structs.replace(self._member, peers=address)
 
     def request_poll(self) -> None:
-        """Poll without waiting for the period to end."""
+        """Poll without waiting for the interval to elapse."""
         self._wake.set()
 
     async def wait_for_change(self) -> None:
-        """Return when the view has changed."""
+        """Wait until the view has changed."""
         await self._changed.wait()
 
     async def run(self) -> None:
@@ -128,7 +135,7 @@
             await self.poll()
             seconds = self._poll_seconds
             if self._view.proposal is not None:
-                seconds *= PROPOSAL_POLL_SHARE
+                seconds *= PROPOSAL_POLL_FACTOR
             try:
                 async with asyncio.timeout(seconds):
                     await self._wake.wait()
@@ -136,37 +143,40 @@
                 pass
 
     async def poll(self) -> bool:
-        """Catch up with the table once; return whether it answered."""
+        """Poll the table once; return whether it answered."""
         try:
             await self._register()
             await self._catch_up()
         except ConditionFailed:
             return True
         except PlatformUnavailable as error:
-            self._note_outage(error)
+            self._record_outage(error)
             return False
-        self._note_table()
+        self._record_success()
         return True
 
     async def deregister(self) -> None:
-        """Take this process off the list of routers."""
+        """Remove this process from the list of routers."""
         try:
             await self._store.remove_members({self._member.instance})
         except PlatformUnavailable as error:
-            LOG.warning('configuration: not taken off the list: %s', error)
+            LOG.warning('configuration: failed to deregister: %s', error)
 
     def list_changes_after(self, revision: int) -> list[AcceptedChange] | None:
-        """Return the changes a peer lacks, or None if it needs the whole."""
+        """Return the changes after ``revision``.
+
+        None if not all of them are kept and a peer needs the whole document.
+        """
         newer = [item for item in self._recent if item.revision > revision]
         if len(newer) != self._view.revision - revision:
             return None
         return newer
 
     def apply_changes(self, changes: list[AcceptedChange]) -> None:
-        """Apply accepted changes that a peer knows, in order."""
+        """Apply accepted changes in order, ignoring any out of sequence."""
         for change in changes:
             if change.revision == self._view.revision + 1:
-                self._apply_change(change)
+                self._apply_accepted_change(change)
 
     def apply_document(
         self,
@@ -175,25 +185,31 @@
         proposal: Plan | None,
         origin: str = 'a peer',
     ) -> None:
-        """Take a whole configuration, if it is newer than what is known.
+        """Replace the configuration, if this one is newer.
 
-        While the table is read a peer may tell of a later revision, so this
-        is the only way in for both.
+        Used for documents from the table and from peers alike: a peer may
+        send a later revision while the table is being read, and the older
+        one must not replace it.
+
+        :param origin: where the document comes from, for the log.
         """
         if self._loaded and revision <= self._view.revision:
             return
         self._loaded = True
         self._set_view(build_view(revision, document, proposal))
-        LOG.info('configuration: revision %d from %s', revision, origin)
+        LOG.info('configuration: loaded revision %d from %s', revision, origin)
 
     def apply_proposal(self, plan: Plan) -> None:
-        """Obey a proposal that a peer knows, without acknowledging it."""
+        """Enforce a proposal from a peer, without acknowledging it."""
         if plan.base != self._view.revision or self._view.proposal is not None:
             return
-        self._obey(plan)
+        self._enforce_proposal(plan)
 
     async def read_progress(self, plan: Plan) -> PlanProgress:
-        """Return who has not acknowledged a proposed plan."""
+        """Return which routers have not acknowledged a proposed plan.
+
+        :raises PlatformUnavailable: if the table does not answer.
+        """
         heads = await self._store.read_heads()
         acknowledged = await self._store.read_acknowledgements(plan.plan_id)
         return compute_progress(
@@ -201,9 +217,11 @@
         )
 
     async def _register(self) -> None:
-        """Stand in the list before anything is read.
+        """Add this process to the list of routers, or update its entry.
 
-        So no change can be accepted without being acknowledged here.
+        This precedes the first read of the configuration, so that no change
+        made after it can be accepted without an acknowledgement from here.
+        The entry is updated when the VM list first shows the VM.
         """
         vms = self.platform_status.vms or {}
         listed = self._member.listed or self._member.vm in vms
@@ -227,33 +245,35 @@
             self.apply_changes(changes)
         if head.revision < self._view.revision:
             return
-        await self._follow_proposal(heads)
+        await self._handle_proposal(heads)
 
     async def _read_heads(self) -> Heads:
-        """Return the head, and the list of routers where it matters.
+        """Return the head and the list of routers, which may be cached.
 
-        The list grows with the routers, so it is not read at each poll: only
-        while there is a proposal, and now and then.
+        The list grows with the number of routers, so it is read only while
+        there is a proposal and once every ``POLLS_PER_MEMBERS_READ`` polls.
         """
         self._polls += 1
         head = await self._store.read_head()
-        due = self._polls % MEMBERS_EVERY_POLLS == 1
+        due = self._polls % POLLS_PER_MEMBERS_READ == 1
         if not head.value.plan_id and not due:
             return Heads(head, self._members)
         heads = await self._store.read_heads()
         self._members = heads.members
         self.platform_status.members = heads.members.value
         if not heads.members.value.has(self._member.instance):
-            # Taken for gone: what was accepted since did not wait for us.
-            LOG.warning('configuration: not on the list any more')
+            # Another router removed this one as gone. Changes accepted since
+            # did not wait for its acknowledgement.
+            LOG.warning('configuration: no longer in the list of routers')
             self._registered = False
         return heads
 
-    async def _follow_proposal(self, heads: Heads) -> None:
+    async def _handle_proposal(self, heads: Heads) -> None:
         plan_id = heads.head.value.plan_id
         known = self._view.proposal
         if known is not None and known.plan_id != plan_id:
-            # The table says so itself: the plan was withdrawn.
+            # The head doesn't name the plan, and the plan was not accepted,
+            # so it was withdrawn.
             self._set_view(
                 build_view(self._view.revision, self._view.accepted, None)
             )
@@ -264,10 +284,10 @@
         if plan is None or plan.value.state is not PlanState.PROPOSED:
             return
         if self._view.revision != plan.value.base:
-            # A peer has told meanwhile that it is decided.
+            # A peer has meanwhile sent the revision that decided it.
             return
         if self._view.proposal is None:
-            self._obey(plan.value)
+            self._enforce_proposal(plan.value)
         await self._acknowledge(plan_id)
         await self._accept_if_complete(plan, heads)
 
@@ -286,32 +306,32 @@
         acknowledged = await self._store.read_acknowledgements(
             plan.value.plan_id
         )
-        judgement = compute_progress(
+        progress = compute_progress(
             plan.value,
             heads.members.value,
             acknowledged,
             self.platform_status.vms,
         )
-        if not judgement.complete:
+        if not progress.complete:
             return
         revision = await self._store.accept(
-            plan, heads, acknowledged, judgement.gone
+            plan, heads, acknowledged, progress.gone
         )
         accepted = AcceptedChange(
             revision, plan.value.plan_id, plan.value.changes
         )
         self.apply_changes([accepted])
 
-    def _obey(self, plan: Plan) -> None:
+    def _enforce_proposal(self, plan: Plan) -> None:
         self._set_view(
             build_view(self._view.revision, self._view.accepted, plan)
         )
-        LOG.info('configuration: obeying plan %s as well', plan.plan_id)
+        LOG.info('configuration: enforcing proposed plan %s', plan.plan_id)
 
-    def _apply_change(self, change: AcceptedChange) -> None:
+    def _apply_accepted_change(self, change: AcceptedChange) -> None:
         document = self._view.accepted.apply(change.changes)
         self._set_view(build_view(change.revision, document, None))
-        self._recent = [*self._recent, change][-KEPT_CHANGES:]
+        self._recent = [*self._recent, change][-MAX_RECENT_CHANGES:]
         LOG.info(
             'configuration: revision %d in force, plan %s',
             change.revision,
@@ -323,14 +343,14 @@
         changed, self._changed = self._changed, asyncio.Event()
         changed.set()
 
-    def _note_table(self) -> None:
-        if self._outage_told:
-            self._outage_told = False
-            LOG.info('configuration: the table service answers')
+    def _record_success(self) -> None:
+        if self._outage_logged:
+            self._outage_logged = False
+            LOG.info('configuration: table service available again')
         self.platform_status.table_up = True
 
-    def _note_outage(self, error: PlatformUnavailable) -> None:
-        if not self._outage_told:
-            self._outage_told = True
-            LOG.warning('configuration: no table service: %s', error)
+    def _record_outage(self, error: PlatformUnavailable) -> None:
+        if not self._outage_logged:
+            self._outage_logged = True
+            LOG.warning('configuration: table service unavailable: %s', error)
         self.platform_status.table_up = False
--- a/src/lifttrestle/internal/configuration/keys.py
+++ b/src/lifttrestle/internal/configuration/keys.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""The keys of the rows in the table service."""
+"""Keys of the configuration's rows in the table service."""
 
 from lifttrestle.internal.configuration.model import ItemKind
 
@@ -19,26 +19,26 @@
 MEMBERS = 'membership/members'
 
 
-def name_item(kind: ItemKind, name: str) -> str:
-    """Return the key of an item's row."""
+def format_item_key(kind: ItemKind, name: str) -> str:
+    """Return the key of the row of an item."""
     return f'{ITEMS}{kind.value}/{name}'
 
 
-def name_change(revision: int) -> str:
-    """Return the key of the changes that made a revision."""
+def format_change_key(revision: int) -> str:
+    """Return the key of the changes that led to a revision."""
     return f'configuration/change/{revision:012d}'
 
 
-def name_plan(plan_id: str) -> str:
+def format_plan_key(plan_id: str) -> str:
     """Return the key of a plan."""
     return f'configuration/plan/{plan_id}'
 
 
-def list_acknowledgements(plan_id: str) -> str:
-    """Return the prefix of all acknowledgements of a plan."""
+def format_acknowledgement_prefix(plan_id: str) -> str:
+    """Return the key prefix of all acknowledgements of a plan."""
     return f'configuration/acknowledgement/{plan_id}/'
 
 
-def name_acknowledgement(plan_id: str, instance: str) -> str:
-    """Return the key of one router's acknowledgement."""
-    return list_acknowledgements(plan_id) + instance
+def format_acknowledgement_key(plan_id: str, instance: str) -> str:
+    """Return the key of the acknowledgement of one router."""
+    return format_acknowledgement_prefix(plan_id) + instance
--- a/src/lifttrestle/internal/configuration/large_changes.py
+++ b/src/lifttrestle/internal/configuration/large_changes.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Changes that are too large for a row, kept in the object store."""
+"""Storage of changes that are too large for a table row."""
 
 import msgspec
 
@@ -20,18 +20,23 @@
 from lifttrestle.internal.configuration.plan import Plan
 from lifttrestle.internal.store.objects import ObjectStore
 
-# A row of the table service should stay small; larger changes are objects.
+# Rows of the table service should stay small. Changes whose encoded size
+# exceeds this go to the object store.
 MAX_ROW_BYTES = 32 * 1024
 
 
 class LargeChanges:
-    """Puts the content of large changes aside, and back."""
+    """Moves the content of large changes to the object store and back."""
 
     def __init__(self, objects: ObjectStore) -> None:
         self._objects = objects
 
     async def offload(self, revision: int, plan: Plan) -> AcceptedChange:
-        """Return the change to store, its content put aside if large."""
+        """Return the row content for a plan accepted as ``revision``.
+
+        Changes above ``MAX_ROW_BYTES`` are written to the object store, and
+        the row refers to the object.
+        """
         body = msgspec.json.encode(plan.changes)
         if len(body) <= MAX_ROW_BYTES:
             return AcceptedChange(revision, plan.plan_id, plan.changes)
@@ -40,13 +45,16 @@
         return AcceptedChange(revision, plan.plan_id, object_key=key)
 
     async def load(self, change: AcceptedChange) -> AcceptedChange:
-        """Return a stored change with its content."""
+        """Return a stored change with its content.
+
+        :raises PlatformUnavailable: if its object is missing.
+        """
         if not change.object_key:
             return change
         body = await self._objects.get(change.object_key)
         if body is None:
             raise PlatformUnavailable(
-                f'the object {change.object_key!r} is missing'
+                f'object {change.object_key!r} is missing'
             )
         changes = msgspec.json.decode(body, type=tuple[Change, ...])
         return msgspec.structs.replace(change, changes=changes)
--- a/src/lifttrestle/internal/configuration/model.py
+++ b/src/lifttrestle/internal/configuration/model.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""The configuration that operators change: workspaces, models, services."""
+"""Items of the configuration: workspaces, models and services."""
 
 import datetime
 import enum
@@ -19,16 +19,16 @@
 
 
 class Item(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The base of everything that has a name in the configuration."""
+    """Base class of the named items of the configuration."""
 
     name: str
 
 
 class RunOnceRule(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Requests of a service that may never be repeated.
+    """Selects requests to a service that must not be retried.
 
-    :ivar path_prefix: the rule covers paths below the service that begin
-        with it.
+    :ivar path_prefix: prefix of the paths, relative to the service.
+    :ivar methods: the HTTP methods.
     """
 
     service: str
@@ -37,7 +37,7 @@
 
 
 class Embargo(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Paths of a service that stay closed until their release time."""
+    """Refuses requests to paths of a service until a release time."""
 
     service: str
     path_prefix: str
@@ -45,12 +45,14 @@
 
 
 class Workspace(Item, frozen=True, forbid_unknown_fields=True):
-    """A customer's place, rights and limits.
-
-    :ivar data_centres: where its prompts, cached context and answers may
-        be; nothing of it is served anywhere else.
-    :ivar token_digests: SHA-256 digests in hexadecimal of its tokens.
-    :ivar priority: 0 goes first, 9 last.
+    """A tenant with its data centres, permissions and limits.
+
+    :ivar data_centres: the only data centres that may serve it and hold its
+        prompts, cached context and answers.
+    :ivar token_digests: SHA-256 digests of its tokens, in hexadecimal.
+    :ivar models: names of the models that it may use.
+    :ivar services: names of the services that it may use.
+    :ivar priority: 0 is the highest, 9 the lowest.
     :ivar requests_per_second: over all routers of one data centre.
     """
 
@@ -66,10 +68,10 @@
 
 
 class Model(Item, frozen=True, forbid_unknown_fields=True):
-    """A model that callers name, the weights in force and its replicas.
+    """A model with the version of its weights and its upstreams.
 
     :ivar version: the version of the weights that must answer.
-    :ivar group: the group of upstreams that holds it.
+    :ivar group: the group of upstreams that serve it.
     """
 
     version: str
@@ -77,13 +79,16 @@
 
 
 class Service(Item, frozen=True, forbid_unknown_fields=True):
-    """A plain service, reached below ``/NAME/``."""
+    """A plain HTTP service, with the path prefix ``/NAME/``.
+
+    :ivar group: the group of upstreams that serve it.
+    """
 
     group: str
 
 
 class ItemKind(enum.Enum):
-    """The kinds of items, as they stand in plans and table keys."""
+    """Kinds of items; the values occur in plans and table keys."""
 
     WORKSPACE = 'workspace'
     MODEL = 'model'
--- a/src/lifttrestle/internal/configuration/plan.py
+++ b/src/lifttrestle/internal/configuration/plan.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""A plan: changes that an operator may confirm."""
+"""Plans: changes that an operator makes, then confirms."""
 
 import datetime
 import enum
@@ -21,7 +21,7 @@
 
 
 class PlanState(enum.Enum):
-    """How far a plan has come."""
+    """State of a plan."""
 
     DRAFTED = 'drafted'
     PROPOSED = 'proposed'
@@ -30,12 +30,12 @@
 
 
 class Plan(msgspec.Struct, frozen=True):
-    """Changes against one revision, and how far they have come.
+    """Changes to one revision of the configuration, and their state.
 
-    :ivar base: the revision on which the plan was made.
+    :ivar base: the revision that the changes apply to.
     :ivar concerns: the data centres whose routers must acknowledge it.
-    :ivar differences: for people, one line for each changed field.
-    :ivar revision: the accepted revision, or 0.
+    :ivar differences: one human-readable line for each changed field.
+    :ivar revision: the revision that it was accepted as, or 0.
     """
 
     plan_id: str
@@ -50,7 +50,7 @@
 
 
 class Head(msgspec.Struct, frozen=True):
-    """The row that names the accepted revision and the proposal.
+    """The row with the accepted revision and the pending proposal.
 
     :ivar plan_id: the proposed plan, or empty.
     """
@@ -60,9 +60,10 @@
 
 
 class AcceptedChange(msgspec.Struct, frozen=True):
-    """The changes that made one revision out of the one before.
+    """The changes between a revision and the one before it.
 
-    :ivar object_key: where the changes are, if they are too large a row.
+    :ivar object_key: key of the object that holds the changes if they are
+        too large for a row, else empty.
     """
 
     revision: int
--- a/src/lifttrestle/internal/configuration/plan_progress.py
+++ b/src/lifttrestle/internal/configuration/plan_progress.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Whether a proposed plan can be accepted, and who holds it up."""
+"""Which routers have yet to acknowledge a proposed plan."""
 
 import dataclasses
 
@@ -22,9 +22,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class PlanProgress:
-    """The routers that a plan still waits for, and those that are gone.
+    """The routers that have not acknowledged a plan.
 
-    :ivar gone: instances whose VM is no longer listed.
+    :ivar waiting: routers whose acknowledgement is still required.
+    :ivar gone: routers whose VM is no longer listed. Their acknowledgement is
+        not required.
     """
 
     waiting: tuple[Member, ...] = ()
@@ -32,11 +34,11 @@
 
     @property
     def complete(self) -> bool:
-        """Return whether every router concerned has acknowledged."""
+        """Return whether no acknowledgement is outstanding."""
         return not self.waiting
 
     def group_waiting(self) -> dict[str, list[str]]:
-        """Return the waiting routers' names by data centre."""
+        """Return the names of the waiting routers by data centre."""
         groups: dict[str, list[str]] = {}
         for member in self.waiting:
             groups.setdefault(member.data_centre, []).append(member.name)
@@ -49,12 +51,14 @@
     acknowledged: set[str],
     vms: dict[str, Vm] | None,
 ) -> PlanProgress:
-    """Judge a proposed plan.
+    """Return which routers have yet to acknowledge a proposed plan.
 
-    :param acknowledged: the instances that obey the plan already.
-    :param vms: the VM list, or None while it is not known. A router leaves
-        the count only when its VM is gone, never for its silence: a paused
-        one may wake.
+    Only routers of the data centres that the plan concerns are required.
+
+    :param acknowledged: instances that have acknowledged the plan.
+    :param vms: the VM list, or None while it is not known. A router stops
+        being required only when its VM is gone, not when it is silent,
+        since a paused process may resume.
     """
     waiting = []
     gone = []
--- a/src/lifttrestle/internal/configuration/planner.py
+++ b/src/lifttrestle/internal/configuration/planner.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Makes a plan out of requested changes, or says what is wrong with them."""
+"""Validates requested changes and makes a plan of them."""
 
 import datetime
 import re
@@ -43,7 +43,8 @@
 ) -> Plan:
     """Return a drafted plan against ``document``.
 
-    :raises RequestRefused: naming the field and value that are wrong.
+    :param revision: the revision of ``document``.
+    :raises RequestRefused: naming the invalid field and its value.
     """
     if not changes:
         raise _refuse('changes', [], 'the plan changes nothing; add a change')
@@ -67,16 +68,17 @@
 def find_concerns(
     before: Document, after: Document, changes: tuple[Change, ...]
 ) -> tuple[str, ...]:
-    """Return the data centres whose routers obey any changed item.
+    """Return the data centres whose routers any of the changes affects.
 
-    A workspace concerns its places of before and after. A model or service
-    concerns the places of every workspace that may use it.
+    A change of a workspace affects its data centres before and after it. A
+    change of a model or service affects the data centres of every workspace
+    that may use it, before or after the change.
     """
     concerned: set[str] = set()
     for change in changes:
         for document in (before, after):
             for workspace in document.workspaces.values():
-                if _touches(change, workspace):
+                if _affects(change, workspace):
                     concerned.update(workspace.data_centres)
     return tuple(sorted(concerned))
 
@@ -84,11 +86,13 @@
 def list_differences(
     before: Document, after: Document, changes: tuple[Change, ...]
 ) -> list[str]:
-    """Return one line for each field that differs."""
+    """Return one human-readable line for each field that differs."""
     lines = []
     for change in changes:
-        old = _flatten(before.get_items(change.kind).get(change.name))
-        new = _flatten(after.get_items(change.kind).get(change.name))
+        old = _encode_set_fields(
+            before.get_items(change.kind).get(change.name)
+        )
+        new = _encode_set_fields(after.get_items(change.kind).get(change.name))
         title = f'{change.kind.value} {change.name}'
         for field in sorted(old.keys() | new.keys()):
             if old.get(field) != new.get(field):
@@ -177,7 +181,7 @@
                 )
 
 
-def _touches(change: Change, workspace: Workspace) -> bool:
+def _affects(change: Change, workspace: Workspace) -> bool:
     names = {
         ItemKind.WORKSPACE: (workspace.name,),
         ItemKind.MODEL: workspace.models,
@@ -186,7 +190,7 @@
     return change.name in names[change.kind]
 
 
-def _flatten(item: Item | None) -> dict[str, object]:
+def _encode_set_fields(item: Item | None) -> dict[str, object]:
     if item is None:
         return {}
     return {key: value for key, value in encode_item(item).items() if value}
--- a/src/lifttrestle/internal/configuration/row_format.py
+++ b/src/lifttrestle/internal/configuration/row_format.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""What the configuration's rows hold, and how they are read and written."""
+"""Encoding and decoding of the rows of the configuration."""
 
 import dataclasses
 import typing
@@ -36,14 +36,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Versioned(typing.Generic[T]):
-    """A decoded row with the version that a later check needs."""
+    """A decoded row and its version, for the checks of a transaction."""
 
     value: T
     version: int
 
 
 def build_document(rows: list[Row]) -> Document:
-    """Return the document that the items' rows make up."""
+    """Return the document that consists of the rows of all items."""
     tables: dict[ItemKind, dict[str, Item]] = {kind: {} for kind in ItemKind}
     for row in rows:
         kind_name, _, name = row.key.removeprefix(keys.ITEMS).partition('/')
@@ -57,9 +57,9 @@
     )
 
 
-def write_item(change: Change) -> Write:
-    """Return the write that brings an item's row to a change."""
-    key = keys.name_item(change.kind, change.name)
+def make_item_write(change: Change) -> Write:
+    """Return the write that applies a change to the row of its item."""
+    key = keys.format_item_key(change.kind, change.name)
     if change.body is None:
         return Write(key, REMOVED)
     item = convert_item(change.kind, change.body)
@@ -67,17 +67,17 @@
 
 
 def decode_row(row: Row | None, model: type[T]) -> Versioned[T]:
-    """Return what a row holds, or an empty model if there is none."""
+    """Decode a row, or return an empty ``model`` if there is none."""
     if row is None:
         return Versioned(model(), ABSENT)
     return Versioned(msgspec.json.decode(row.value, type=model), row.version)
 
 
 def decode_existing(rows: dict[str, Row], key: str, model: type[T]) -> T:
-    """Return what a row holds.
+    """Decode the row with a key.
 
     :raises PlatformUnavailable: if the row is missing.
     """
     if key not in rows:
-        raise PlatformUnavailable(f'the row {key!r} is missing')
+        raise PlatformUnavailable(f'row {key!r} is missing')
     return msgspec.json.decode(rows[key].value, type=model)
--- a/src/lifttrestle/internal/configuration/store.py
+++ b/src/lifttrestle/internal/configuration/store.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""The configuration's rows in the platform's table service."""
+"""Storage of the configuration in the platform's table service."""
 
 import dataclasses
 import typing
@@ -29,8 +29,8 @@
 from lifttrestle.internal.configuration.row_format import build_document
 from lifttrestle.internal.configuration.row_format import decode_existing
 from lifttrestle.internal.configuration.row_format import decode_row
+from lifttrestle.internal.configuration.row_format import make_item_write
 from lifttrestle.internal.configuration.row_format import Versioned
-from lifttrestle.internal.configuration.row_format import write_item
 from lifttrestle.internal.membership.member import Member
 from lifttrestle.internal.membership.member import Members
 from lifttrestle.internal.store.objects import ObjectStore
@@ -42,12 +42,12 @@
 from lifttrestle.internal.store.row import Write
 from lifttrestle.internal.store.table import TableService
 
-LOAD_TRIES = 5
+LOAD_ATTEMPTS = 5
 
 
 @dataclasses.dataclass(frozen=True)
 class Heads:
-    """The two rows that every router polls, read as of one commit."""
+    """The head and the list of routers, read as of one commit."""
 
     head: Versioned[Head]
     members: Versioned[Members]
@@ -56,8 +56,8 @@
 class ConfigurationStore:
     """Reads and writes plans, revisions and the list of routers.
 
-    Every method may raise ``PlatformUnavailable``; a write may then have
-    taken effect, and each of them is harmless to repeat.
+    Every method may raise ``PlatformUnavailable``. A write may have taken
+    effect by then, but repeating it is harmless.
     """
 
     def __init__(self, table: TableService, objects: ObjectStore) -> None:
@@ -65,7 +65,7 @@
         self._large_changes = LargeChanges(objects)
 
     async def read_heads(self) -> Heads:
-        """Return the head and the members."""
+        """Return the head and the list of routers."""
         rows = await self._table.read((keys.HEAD, keys.MEMBERS))
         return Heads(
             decode_row(rows.get(keys.HEAD), Head),
@@ -73,28 +73,35 @@
         )
 
     async def read_head(self) -> Versioned[Head]:
-        """Return the head alone, which stays small at any size."""
+        """Return only the head, which stays small in any deployment."""
         rows = await self._table.read((keys.HEAD,))
         return decode_row(rows.get(keys.HEAD), Head)
 
     async def load_document(self) -> tuple[int, Document]:
-        """Return the accepted revision and its whole document."""
-        for _ in range(LOAD_TRIES):
+        """Return the accepted revision and its document.
+
+        The revision and the items are separate reads, which are repeated if
+        the revision changes in between.
+
+        :raises PlatformUnavailable: also if it changed during each of
+            ``LOAD_ATTEMPTS`` attempts.
+        """
+        for _ in range(LOAD_ATTEMPTS):
             before = (await self.read_heads()).head
             rows = await self._table.scan(keys.ITEMS)
             after = (await self.read_heads()).head
             if before.value.revision == after.value.revision:
                 return after.value.revision, build_document(rows)
         raise PlatformUnavailable(
-            f'the configuration changed during each of {LOAD_TRIES} reads'
+            f'the configuration changed during each of {LOAD_ATTEMPTS} reads'
         )
 
     async def read_changes(
         self, after: int, until: int
     ) -> list[AcceptedChange]:
-        """Return the changes that made the revisions in between."""
+        """Return the changes of revisions ``after + 1`` to ``until``."""
         wanted = tuple(
-            keys.name_change(revision)
+            keys.format_change_key(revision)
             for revision in range(after + 1, until + 1)
         )
         rows = await self._table.read(wanted)
@@ -105,8 +112,8 @@
         return changes
 
     async def read_plan(self, plan_id: str) -> Versioned[Plan] | None:
-        """Return a plan, or None if there is no such plan."""
-        key = keys.name_plan(plan_id)
+        """Return a plan, or None if it does not exist."""
+        key = keys.format_plan_key(plan_id)
         rows = await self._table.read((key,))
         if key not in rows:
             return None
@@ -116,7 +123,7 @@
 
     async def save_draft(self, plan: Plan) -> None:
         """Store a new plan."""
-        key = keys.name_plan(plan.plan_id)
+        key = keys.format_plan_key(plan.plan_id)
         await self._table.transact(
             Transaction((Check(key, ABSENT),), (make_write(key, plan),))
         )
@@ -124,11 +131,11 @@
     async def propose(
         self, plan: Versioned[Plan], head: Versioned[Head]
     ) -> None:
-        """Make a plan the one proposal.
+        """Make a plan the pending proposal.
 
         :raises ConditionFailed: if the head or the plan has changed.
         """
-        key = keys.name_plan(plan.value.plan_id)
+        key = keys.format_plan_key(plan.value.plan_id)
         proposed = msgspec.structs.replace(
             plan.value, state=PlanState.PROPOSED
         )
@@ -143,11 +150,11 @@
     async def withdraw(
         self, plan: Versioned[Plan], head: Versioned[Head]
     ) -> None:
-        """Take a plan back before it is accepted.
+        """Withdraw a plan that is not accepted.
 
         :raises ConditionFailed: if the head or the plan has changed.
         """
-        key = keys.name_plan(plan.value.plan_id)
+        key = keys.format_plan_key(plan.value.plan_id)
         withdrawn = msgspec.structs.replace(
             plan.value, state=PlanState.WITHDRAWN
         )
@@ -159,15 +166,15 @@
         await self._table.transact(Transaction(tuple(checks), tuple(writes)))
 
     async def acknowledge(self, plan_id: str, instance: str) -> None:
-        """Record that a router obeys a plan from now on."""
-        key = keys.name_acknowledgement(plan_id, instance)
+        """Record that a router enforces a plan from now on."""
+        key = keys.format_acknowledgement_key(plan_id, instance)
         await self._table.transact(
             Transaction((), (make_write(key, {'plan_id': plan_id}),))
         )
 
     async def read_acknowledgements(self, plan_id: str) -> set[str]:
         """Return the instances that have acknowledged a plan."""
-        prefix = keys.list_acknowledgements(plan_id)
+        prefix = keys.format_acknowledgement_prefix(plan_id)
         rows = await self._table.scan(prefix)
         return {row.key.removeprefix(prefix) for row in rows}
 
@@ -178,11 +185,12 @@
         acknowledged: set[str],
         gone: tuple[Member, ...],
     ) -> int:
-        """Put a proposed plan in force and return its revision.
+        """Make a proposed plan the accepted revision and return its number.
 
-        One transaction checks the head, the plan and the list of routers
-        whose acknowledgements were counted.
+        The transaction checks that the head, the plan and the list of
+        routers are those for which the acknowledgements were counted.
 
+        :param gone: routers to remove from the list.
         :raises ConditionFailed: if any of them has changed since.
         """
         revision = heads.head.value.revision + 1
@@ -193,35 +201,37 @@
         )
         writes = [
             make_write(keys.HEAD, Head(revision)),
-            make_write(keys.name_plan(plan_id), accepted),
-            make_write(keys.name_change(revision), change),
-            *(write_item(item) for item in plan.value.changes),
+            make_write(keys.format_plan_key(plan_id), accepted),
+            make_write(keys.format_change_key(revision), change),
+            *(make_item_write(item) for item in plan.value.changes),
             *(
-                Write(keys.name_acknowledgement(plan_id, instance), REMOVED)
+                Write(
+                    keys.format_acknowledgement_key(plan_id, instance), REMOVED
+                )
                 for instance in sorted(acknowledged)
             ),
         ]
         if gone:
             instances = {member.instance for member in gone}
-            left = heads.members.value.remove(instances)
-            writes.append(make_write(keys.MEMBERS, left))
+            remaining = heads.members.value.remove(instances)
+            writes.append(make_write(keys.MEMBERS, remaining))
         checks = (
             Check(keys.HEAD, heads.head.version),
             Check(keys.MEMBERS, heads.members.version),
-            Check(keys.name_plan(plan_id), plan.version),
+            Check(keys.format_plan_key(plan_id), plan.version),
         )
         await self._table.transact(Transaction(checks, tuple(writes)))
         return revision
 
     async def add_member(self, member: Member) -> None:
-        """Register a router; repeating it changes nothing."""
-        await self._change_members(lambda members: members.add(member))
+        """Register a router. This is idempotent."""
+        await self._update_members(lambda members: members.add(member))
 
     async def remove_members(self, instances: set[str]) -> None:
         """Remove routers that have left or whose VM is gone."""
-        await self._change_members(lambda members: members.remove(instances))
+        await self._update_members(lambda members: members.remove(instances))
 
-    async def _change_members(
+    async def _update_members(
         self, change: typing.Callable[[Members], Members]
     ) -> None:
         while True:
--- a/src/lifttrestle/internal/configuration/stricter.py
+++ b/src/lifttrestle/internal/configuration/stricter.py
@@ -10,10 +10,11 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""What may be done while it is not known which of two documents is in force.
+"""Combination of the accepted document with a proposed one.
 
-A router that has acknowledged a proposal obeys both the accepted document and
-the proposed one, so whichever turns out to be in force was obeyed.
+A router that has acknowledged a proposal can't know which of both documents
+is in force until it learns the decision. It enforces both meanwhile, by
+allowing only what both allow.
 """
 
 import dataclasses
@@ -27,28 +28,30 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Stricter:
-    """The document to obey and the items on which the two disagree.
+class CombinedDocument:
+    """What two documents both allow.
 
-    :ivar held: models and services that are different in both; requests
-        for them wait until it is known which is in force.
+    :ivar held: models and services that the two define differently.
+        Requests for them wait until it is known which is in force.
     """
 
     document: Document
     held: frozenset[tuple[ItemKind, str]] = frozenset()
 
 
-def combine_documents(old: Document, changes: tuple[Change, ...]) -> Stricter:
-    """Return what both ``old`` and ``old`` after ``changes`` allow."""
+def combine_documents(
+    old: Document, changes: tuple[Change, ...]
+) -> CombinedDocument:
+    """Return what ``old`` allows both before and after ``changes``."""
     new = old.apply(changes)
     held = set()
     tables = {kind: dict(old.get_items(kind)) for kind in ItemKind}
     for kind, name in {(item.kind, item.name) for item in changes}:
         before = old.get_items(kind).get(name)
         after = new.get_items(kind).get(name)
-        both = _combine_items(before, after)
-        if both is not None:
-            tables[kind][name] = both
+        combined = _combine_items(before, after)
+        if combined is not None:
+            tables[kind][name] = combined
             continue
         tables[kind].pop(name, None)
         if before is not None and after is not None:
@@ -58,11 +61,11 @@
         tables[ItemKind.MODEL],  # type: ignore[arg-type]
         tables[ItemKind.SERVICE],  # type: ignore[arg-type]
     )
-    return Stricter(document, frozenset(held))
+    return CombinedDocument(document, frozenset(held))
 
 
 def combine_workspaces(old: Workspace, new: Workspace) -> Workspace:
-    """Return the workspace that allows only what both allow."""
+    """Return a workspace that allows only what both allow."""
     return Workspace(
         name=new.name,
         data_centres=_intersect(old.data_centres, new.data_centres),
@@ -70,7 +73,7 @@
         models=_intersect(old.models, new.models),
         services=_intersect(old.services, new.services),
         run_once=tuple(dict.fromkeys(old.run_once + new.run_once)),
-        embargoes=_join_embargoes(old.embargoes + new.embargoes),
+        embargoes=_merge_embargoes(old.embargoes + new.embargoes),
         priority=max(old.priority, new.priority),
         requests_per_second=min(
             old.requests_per_second, new.requests_per_second
@@ -93,7 +96,7 @@
     return tuple(item for item in new if item in old)
 
 
-def _join_embargoes(embargoes: tuple[Embargo, ...]) -> tuple[Embargo, ...]:
+def _merge_embargoes(embargoes: tuple[Embargo, ...]) -> tuple[Embargo, ...]:
     latest: dict[tuple[str, str], Embargo] = {}
     for embargo in embargoes:
         key = (embargo.service, embargo.path_prefix)
--- a/src/lifttrestle/internal/configuration/view.py
+++ b/src/lifttrestle/internal/configuration/view.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""What one router knows of the configuration at one moment."""
+"""The configuration as one router knows it, immutable."""
 
 import dataclasses
 
@@ -18,42 +18,43 @@
 from lifttrestle.internal.configuration.model import ItemKind
 from lifttrestle.internal.configuration.plan import Plan
 from lifttrestle.internal.configuration.stricter import combine_documents
-from lifttrestle.internal.configuration.stricter import Stricter
+from lifttrestle.internal.configuration.stricter import CombinedDocument
 
 
 @dataclasses.dataclass(frozen=True)
 class View:
-    """The accepted document, a known proposal, and what to obey.
+    """The accepted document, a pending proposal and their combination.
 
-    :ivar proposal: a plan that this router has acknowledged or is about
-        to; until its fate is known the stricter of both is obeyed.
+    :ivar proposal: a plan that this router enforces along with the accepted
+        document until it is accepted or withdrawn.
+    :ivar effective: what the accepted document and the proposal both allow.
     """
 
     revision: int
     accepted: Document
     proposal: Plan | None = None
-    obeyed: Stricter = dataclasses.field(
-        default_factory=lambda: Stricter(Document())
+    effective: CombinedDocument = dataclasses.field(
+        default_factory=lambda: CombinedDocument(Document())
     )
 
     @property
     def document(self) -> Document:
-        """Return the document to obey."""
-        return self.obeyed.document
+        """Return the document to enforce."""
+        return self.effective.document
 
     def is_held(self, kind: ItemKind, name: str) -> bool:
         """Return whether requests for an item must wait."""
-        return (kind, name) in self.obeyed.held
+        return (kind, name) in self.effective.held
 
 
 def build_view(
     revision: int, accepted: Document, proposal: Plan | None
 ) -> View:
-    """Return the view with the stricter document worked out."""
+    """Return a view with the combination of both documents."""
     if proposal is None:
-        return View(revision, accepted, None, Stricter(accepted))
-    obeyed = combine_documents(accepted, proposal.changes)
-    return View(revision, accepted, proposal, obeyed)
+        return View(revision, accepted, None, CombinedDocument(accepted))
+    effective = combine_documents(accepted, proposal.changes)
+    return View(revision, accepted, proposal, effective)
 
 
 EMPTY_VIEW = build_view(0, Document(), None)
--- a/tests/cover/test_configuration_model.py
+++ b/tests/cover/test_configuration_model.py
@@ -10,13 +10,14 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Every interleaving of loss, pause, crash and restart around two steps.
-
-Routers of two data centres poll a table whose calls meet the fate that
-Hypothesis decides, while operators propose and withdraw changes of one
-workspace's place. Whatever happens, no router serves the workspace where the
-accepted configuration forbids it, and no router goes back to an older
-revision. Two deliberate faults show that the model can fail.
+"""Stateful tests of configuration changes under crashes and lost calls.
+
+Routers of two data centres poll a table while operators propose and withdraw
+changes to the data centres of one workspace. Hypothesis decides the order and
+the outcome of the calls to the table, and when routers stall, crash and
+restart. No router may serve the workspace in a data centre that the accepted
+configuration forbids, and none may return to an older revision. Two tests
+inject a fault and check that the model detects it.
 """
 
 import asyncio
@@ -69,7 +70,7 @@
 
 
 class NoObjects(ObjectStore):
-    """No change of the model is large enough to need an object."""
+    """Fails if used; no change of this model is large enough for an object."""
 
     async def put(self, key: str, body: bytes) -> None:
         raise NotImplementedError
@@ -92,7 +93,7 @@
 
     @property
     def serves(self) -> bool:
-        """Return whether it would serve a request now."""
+        """Return whether the router would serve a request now."""
         keeper = self.keeper
         if not self.alive or not keeper.loaded:
             return False
@@ -275,20 +276,20 @@
 
 
 def get_places(view: View) -> tuple[str, ...]:
-    """Return where a view lets the workspace be served."""
+    """Return the data centres in which a view allows the workspace."""
     workspace = view.document.workspaces.get('daily')
     return workspace.data_centres if workspace else ()
 
 
-class AcknowledgingUnread(ConfigurationKeeper):
-    """Acknowledges a proposal before it obeys it."""
+class EarlyAcknowledgingKeeper(ConfigurationKeeper):
+    """Acknowledges a proposal before enforcing it, which is a fault."""
 
-    async def _follow_proposal(self, heads: Heads) -> None:
+    async def _handle_proposal(self, heads: Heads) -> None:
         plan_id = heads.head.value.plan_id
         if plan_id and self._acknowledged != plan_id:
             await self._acknowledge(plan_id)
             return
-        await super()._follow_proposal(heads)
+        await super()._handle_proposal(heads)
 
 
 class TestConfiguration(unittest.TestCase):
@@ -303,17 +304,17 @@
 
     def test_model_finds_an_early_acknowledgement(self) -> None:
         with self.assertRaises(AssertionError):
-            self.check(AcknowledgingUnread, FAULTY_EXAMPLES)
+            self.check(EarlyAcknowledgingKeeper, FAULTY_EXAMPLES)
 
     def test_model_finds_that_silence_is_taken_for_death(self) -> None:
-        def judge_silent_gone(plan, members, acknowledged, vms):  # noqa
-            judgement = compute_progress(plan, members, acknowledged, vms)
-            return PlanProgress((), (*judgement.gone, *judgement.waiting))
+        def count_silent_as_gone(plan, members, acknowledged, vms):  # noqa
+            progress = compute_progress(plan, members, acknowledged, vms)
+            return PlanProgress((), (*progress.gone, *progress.waiting))
 
         with mock.patch.object(
             keeper_module, 'compute_progress', autospec=True
-        ) as judge:
-            judge.side_effect = judge_silent_gone
+        ) as compute:
+            compute.side_effect = count_silent_as_gone
             with self.assertRaises(AssertionError):
                 self.check(ConfigurationKeeper, FAULTY_EXAMPLES)
 
--- a/tests/cover/test_keeper.py
+++ b/tests/cover/test_keeper.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""The keeper of one router's configuration, call by call."""
+"""Tests of the configuration keeper with controlled table calls."""
 
 import asyncio
 import unittest
@@ -30,11 +30,11 @@
 
 
 class TestKeeper(unittest.IsolatedAsyncioTestCase):
-    async def test_regression_slow_first_read_undoes_no_peers_word(
+    async def test_regression_slow_first_read_keeps_newer_revision(
         self,
     ) -> None:
-        # The table's first answers said revision 0. A peer told of revision
-        # 1 meanwhile, and the end of the read put revision 0 in force again.
+        # Guards against a slow first read of the table that returns revision
+        # 0 and replaces revision 1 that a peer has sent during the read.
         gate = Gate()
         store = ConfigurationStore(GatedTable(gate, 'one'), None)
         member = Member('one', 'r', 'vm', 'silom', '-')
@@ -44,7 +44,7 @@
         while not poll.done():
             for call in list(gate.calls):
                 await gate.decide(call, Fate.ANSWERED)
-            # Said again after each answer, so also after the last of them.
+            # Repeated after each answer, and so also after the last one.
             if gate.scans:
                 keeper.apply_document(1, NEWER, None)
             await settle_loop()
--- a/tests/cover/test_large_changes.py
+++ b/tests/cover/test_large_changes.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Changes that are too large for a row are put aside, and found again."""
+"""Tests of the storage of changes that are too large for a row."""
 
 import datetime
 import unittest
--- a/tests/cover/test_stricter.py
+++ b/tests/cover/test_stricter.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""What is obeyed while two configurations may be in force."""
+"""Tests of the combination of the accepted and a proposed document."""
 
 import datetime
 import unittest
@@ -98,11 +98,11 @@
 
     def test_switch_of_weights_is_held(self) -> None:
         old = Document(models={'m': Model('m', 'v1', 'g')})
-        stricter = combine_documents(
+        combined = combine_documents(
             old, (self.change(Model('m', 'v2', 'g')),)
         )
-        self.assertEqual(stricter.held, {(ItemKind.MODEL, 'm')})
-        self.assertEqual(stricter.document.models, {})
+        self.assertEqual(combined.held, {(ItemKind.MODEL, 'm')})
+        self.assertEqual(combined.document.models, {})
 
     def test_new_and_removed_items_are_absent(self) -> None:
         old = Document(models={'m': Model('m', 'v1', 'g')})
@@ -110,9 +110,9 @@
         added = combine_documents(
             Document(), (self.change(Model('m', 'v1', 'g')),)
         )
-        for stricter in (removed, added):
-            self.assertEqual(stricter.document.models, {})
-            self.assertEqual(stricter.held, frozenset())
+        for combined in (removed, added):
+            self.assertEqual(combined.document.models, {})
+            self.assertEqual(combined.held, frozenset())
 
 
 if __name__ == '__main__':
--- a/tests/nocover/test_configuration.py
+++ b/tests/nocover/test_configuration.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""An accepted configuration is in force everywhere and never reverts."""
+"""Tests of the propagation of configuration changes to all routers."""
 
 import concurrent.futures
 import os
@@ -37,7 +37,7 @@
 
 
 class ConfigurationTestCase(unittest.TestCase):
-    """Two data centres; the second one's path to the table can be cut."""
+    """Deploys ``ROUTERS`` routers in each of two data centres."""
 
     ROUTERS = 1
 
@@ -90,8 +90,8 @@
         print(f'in force {time.monotonic() - started:.2f} s after confirm')
 
     def test_paused_router_holds_a_change_up_visibly(self) -> None:
-        # Its VM is still there: it may wake at any moment and go on serving
-        # what it knew, so nothing may be accepted behind it.
+        # The VM still exists, so the process may resume at any moment and
+        # serve by its old view. The change must not be accepted without it.
         plan_id = self.plan(workspace('daily', [SILOM]))
         self.bangna.process.send_signal(signal.SIGSTOP)
         reply = self.confirm(plan_id, 1.0)
@@ -101,11 +101,11 @@
         )
         self.bangna.process.send_signal(signal.SIGCONT)
         wait_until(lambda: self.get_state(plan_id) == 'accepted')
-        # The paused one obeyed before the change was accepted.
+        # The paused router enforced the change before it was accepted.
         self.assertEqual(self.call(self.bangna), 421)
 
     def test_gone_vm_holds_nothing_up(self) -> None:
-        # The lagging list must have shown the VM before it can be gone.
+        # A VM counts as gone only once the VM list, which lags, has shown it.
         vms = {f'vm-{name}': 'live' for name in self.deployment.routers}
         self.deployment.set_vms(**vms)
         wait_until(self.all_listed)
@@ -169,8 +169,8 @@
         statuses = sorted(reply.status for reply in replies)
         self.assertEqual(statuses[0], 200)
         self.assertEqual(statuses[1:], [409] * 3)
-        # The router that confirmed knows of it at once, the other with its
-        # next poll; and none of the refused plans makes a third revision.
+        # The router that confirmed the plan applies it at once, the other one
+        # at its next poll. No refused plan may lead to a third revision.
         routers = (self.silom, self.bangna)
         winner = routers[[reply.status for reply in replies].index(200) % 2]
         self.assertEqual(winner.status()['revision'], 2)
@@ -224,7 +224,10 @@
 
 
 class TestCutOff(ConfigurationTestCase):
-    """A data centre that has lost the platform, and its peers."""
+    """A data centre that has lost its connection to the table service.
+
+    The second data centre reaches the table through a relay.
+    """
 
     def setUp(self) -> None:
         self.deployment = Deployment((SILOM, BANGNA), engines=1)
@@ -253,7 +256,8 @@
         self.assertEqual(self.call(self.bangna), 421)
 
     def test_obeys_the_stricter_of_both_while_it_cannot_know(self) -> None:
-        # It acknowledges, and is cut off before it learns the decision.
+        # The router acknowledges the plan and loses the table before it learns
+        # the decision.
         plan_id = self.plan(workspace('daily', [SILOM]))
         self.silom.process.send_signal(signal.SIGSTOP)
         with concurrent.futures.ThreadPoolExecutor(1) as pool:
@@ -265,13 +269,14 @@
         self.silom.process.send_signal(signal.SIGCONT)
         self.assertEqual(self.call(self.bangna), 421)
         wait_until(lambda: self.get_state(plan_id) == 'accepted')
-        # Still cut off, it does not revert either.
+        # Without the table it must not revert after the acceptance either.
         time.sleep(1.0)
         self.assertEqual(self.call(self.bangna), 421)
 
     def test_embargo_is_the_later_one_while_it_cannot_know(self) -> None:
-        # Moved earlier and moved later, each with the router cut off between
-        # its word and the decision: the path stays closed.
+        # One embargo is moved earlier and one later, and the router loses the
+        # table between its acknowledgement and the decision. The path must
+        # stay closed to both workspaces.
         past, future = '2020-01-01T00:00:00Z', '2999-01-01T00:00:00Z'
         self.deployment.configure([self.embargo('sooner', future)])
         self.deployment.configure([self.embargo('later', past)])
@@ -324,12 +329,12 @@
 
 
 class TestRestart(ConfigurationTestCase):
-    """A router that restarts serves at once, platform or not."""
+    """Restarts of routers, with and without the table service."""
 
     ROUTERS = 3
 
     def restart(self, router: Router, seeds: list[str]) -> float:
-        """Start a router again; return seconds to its first answer."""
+        """Restart a router; return the seconds to its first answer."""
         text = router.settings.read_text()
         if 'seeds' not in text:
             listed = ', '.join(f'"{seed}"' for seed in seeds)
@@ -343,12 +348,12 @@
 
     def test_herd_restart_with_the_table_out(self) -> None:
         routers = list(self.deployment.routers.values())
-        kept, *herd = routers[:3]
-        for router in herd:
+        running, *restarted = routers[:3]
+        for router in restarted:
             router.process.kill()
         self.deployment.set_faults('table', refuse=1_000_000)
-        for router in herd:
-            seconds = self.restart(router, [kept.peers])
+        for router in restarted:
+            seconds = self.restart(router, [running.peers])
             print(f'served {seconds:.2f} s after its start, table out')
             self.assertEqual(router.status()['revision'], 1)
         self.deployment.set_faults('table')
@@ -362,13 +367,13 @@
         router = f'{SILOM}/{SILOM}-1'
         table = self.deployment.addresses['table']
         write = {'key': 'membership/members', 'value': {'routers': []}}
-        struck = request(
+        cleared = request(
             table,
             'POST',
             '/v1/transact',
             content={'checks': [], 'writes': [write]},
         )
-        self.assertEqual(struck.status, 200)
+        self.assertEqual(cleared.status, 200)
 
         def is_listed() -> bool:
             reply = request(
@@ -391,8 +396,9 @@
             **{f'vm-{name}': 'live' for name in self.deployment.routers}
         )
         plan_id = self.plan(workspace('daily', [SILOM, BANGNA], priority=1))
-        # The stale one is concerned, so the change is held up; withdrawn, it
-        # leaves both at revision 1. A change elsewhere moves only one.
+        # The change concerns the stale router and so stays pending. It is
+        # withdrawn, which leaves both at revision 1. The second change
+        # concerns another data centre and is applied by only one of the two.
         self.confirm(plan_id, 0.2)
         self.deployment.operate(
             one, 'POST', f'/intent/plans/{plan_id}/withdraw'
@@ -407,17 +413,17 @@
         self.deployment.set_faults('table')
 
     def test_new_router_is_covered_by_its_sponsor(self) -> None:
-        # With the table out for the new router alone, a change must wait for
-        # it although it could not register.
+        # Only the new router has lost the table. A change must wait for it,
+        # although it could not register.
         relay = Relay(self.deployment.addresses['table'])
         self.addCleanup(relay.close)
         relay.cut()
-        kept, new = list(self.deployment.routers.values())[:2]
+        running, new = list(self.deployment.routers.values())[:2]
         new.process.stop()
         text = new.settings.read_text()
         table = self.deployment.addresses['table']
         new.settings.write_text(text.replace(table, relay.address))
-        self.restart(new, [kept.peers])
+        self.restart(new, [running.peers])
         plan_id = self.plan(workspace('daily', [BANGNA]))
         new.process.send_signal(signal.SIGSTOP)
         self.assertEqual(self.confirm(plan_id, 2.0).status, 202)
@@ -427,7 +433,7 @@
 
 
 class TestCommands(ConfigurationTestCase):
-    """The operators' commands against a real router."""
+    """The commands for operators, run against a router process."""
 
     def run_command(self, *arguments: str) -> subprocess.CompletedProcess:
         token = self.deployment.folder / 'token'
