--- a/src/lifttrestle/internal/fleet/loads/weights_loader.py
+++ b/src/lifttrestle/internal/fleet/loads/weights_loader.py
@@ -48,7 +48,7 @@
 from lifttrestle.internal.fleet.state.rows import RowStore
 from lifttrestle.internal.fleet.state.rows import RowWrite
 from lifttrestle.internal.fleet.state.upstream import FleetUpstream
-from lifttrestle.internal.fleet.state.weights_view import HeldPlan
+from lifttrestle.internal.fleet.state.weights_view import ObservedPlan
 from lifttrestle.internal.fleet.state.weights_view import PLAN_PREFIX
 from lifttrestle.internal.fleet.state.weights_view import WeightsPlan
 from lifttrestle.internal.fleet.state.weights_view import WeightsView
@@ -95,7 +95,7 @@
         """Load what is missing, for ever."""
         while True:
             await beat.wait(POLL_SECONDS)
-            for model in list(self._view.wanted):
+            for model in list(self._view.target_weights):
                 try:
                     await self.serve_model(model)
                 except (PlatformUnavailable, ConditionFailed) as error:
@@ -106,7 +106,7 @@
 
     async def serve_model(self, model: str) -> None:
         """Take the next step towards a model's newest weights."""
-        version = self._view.wanted[model].version
+        version = self._view.target_weights[model].version
         state = self._get_state(version)
         if self._complete.get(model) == state:
             # Each router asks ten times a second, among all engines.
@@ -144,12 +144,12 @@
     def _list_engines(self, model: str) -> list[FleetUpstream]:
         return list_engines(self._directory, model)
 
-    def _may_act(self, model: str, held: HeldPlan, now: float) -> bool:
+    def _may_act(self, model: str, held: ObservedPlan, now: float) -> bool:
         if self._holds_lease(held):
             return True
         return now >= self._find_turn(model, held)
 
-    def _holds_lease(self, held: HeldPlan) -> bool:
+    def _holds_lease(self, held: ObservedPlan) -> bool:
         """Return whether this router certainly holds the lease.
 
         The holder in a restored row may be out of date: the older copy lacks
@@ -161,7 +161,7 @@
             and not held.restored
         )
 
-    def _find_turn(self, model: str, held: HeldPlan) -> float:
+    def _find_turn(self, model: str, held: ObservedPlan) -> float:
         holder = None
         if held.plan is not None and held.plan.holder != self._holder:
             holder = f'{ROUTER_PREFIX}{held.plan.holder}'
@@ -178,13 +178,13 @@
     async def _load_next(
         self,
         model: str,
-        held: HeldPlan,
+        held: ObservedPlan,
         loads: LoadTracker,
         outdated: list[FleetUpstream],
     ) -> None:
         engines = self._list_engines(model)
         room = count_loadable(engines, self._clock.monotonic()) - len(loads)
-        version = self._view.wanted[model].version
+        version = self._view.target_weights[model].version
         batch: list[tuple[FleetUpstream, EngineState]] = []
         for upstream in outdated:
             if len(batch) >= room:
@@ -230,7 +230,7 @@
             loads.add(upstream, order, answer)
 
     async def _write_plan(
-        self, model: str, version: int, held: HeldPlan, loading: list[str]
+        self, model: str, version: int, held: ObservedPlan, loading: list[str]
     ) -> int:
         loaded = [
             upstream.start
@@ -246,7 +246,7 @@
             held.epoch,
         )
         fence = await self._store.write_row(write)
-        self._plans.note(plan, fence)
+        self._plans.apply_plan(plan, fence)
         return fence
 
     async def _order(
@@ -292,5 +292,5 @@
         plan = held.plan
         if plan is None or not self._holds_lease(held) or not plan.loading:
             return
-        version = self._view.wanted[model].version
+        version = self._view.target_weights[model].version
         await self._write_plan(model, version, held, [])
--- a/src/lifttrestle/internal/fleet/path/candidates.py
+++ b/src/lifttrestle/internal/fleet/path/candidates.py
@@ -68,7 +68,7 @@
         generation = self._facts.generation
         wanted = None
         if generation is not None:
-            wanted = parts.view.wanted.get(generation.model)
+            wanted = parts.view.target_weights.get(generation.model)
         surroundings = PlacementContext(
             now=parts.clock.monotonic(),
             data_centre=parts.settings.data_centre,
@@ -140,7 +140,7 @@
         return select_engines(
             found,
             generation.model,
-            parts.view.wanted.get(generation.model),
+            parts.view.target_weights.get(generation.model),
             now,
             parts.settings.promises.weights_seconds,
         )
--- a/src/lifttrestle/internal/fleet/policy/weights_fit.py
+++ b/src/lifttrestle/internal/fleet/policy/weights_fit.py
@@ -12,7 +12,7 @@
 
 """Selects the engines whose weights are recent enough for a generation."""
 
-from lifttrestle.internal.fleet.state.operator_view import WantedWeights
+from lifttrestle.internal.fleet.state.operator_view import TargetWeightsHistory
 from lifttrestle.internal.fleet.state.upstream import FleetUpstream
 
 # No generation starts on weights that were replaced longer ago than this
@@ -24,7 +24,7 @@
 def select_engines(
     engines: list[FleetUpstream],
     model: str,
-    wanted: WantedWeights | None,
+    wanted: TargetWeightsHistory | None,
     now: float,
     weights_seconds: float,
 ) -> list[FleetUpstream]:
@@ -44,7 +44,7 @@
     oldest = now - weights_seconds * OLD_WEIGHTS_SHARE
     fit = []
     for item in idle:
-        replaced_at = wanted.find_replaced(item.weights[model])
+        replaced_at = wanted.find_replaced_at(item.weights[model])
         if replaced_at is None or replaced_at > oldest:
             fit.append(item)
     return fit
--- a/src/lifttrestle/internal/fleet/process.py
+++ b/src/lifttrestle/internal/fleet/process.py
@@ -160,7 +160,7 @@
             # It names the routers that can be asked for the others.
             eager=True,
         )
-        self.roster.get_proved_at = lambda: self._routers_watch.proved_at
+        self.roster.get_proved_at = lambda: self._routers_watch.current_as_of
         self._upstreams_watch.restart_with(self._operator_watch)
         self._routers_watch.restart_with(self._operator_watch)
         self.stores = CacheStores(clock)
@@ -274,7 +274,7 @@
         table: str,
         wait_seconds: float,
         listener: object,
-        rest_seconds: float = 0.0,
+        batch_seconds: float = 0.0,
         *,
         eager: bool = False,
         policy: RestorePolicy | None = None,
@@ -286,14 +286,14 @@
             self._source,
             wait_seconds,
             listener,  # type: ignore[arg-type]
-            rest_seconds,
+            batch_seconds,
             eager=eager,
             policy=policy,
         )
 
     def _take_operator_row(self, row: VersionedRow) -> None:
         before = self._view.catalogue
-        self._view.take(row)
+        self._view.apply_row(row)
         after = self._view.catalogue
         if after is not None and after is not before:
             self._callers.set_limits(_make_limits(after))
@@ -309,7 +309,7 @@
     def _take_routers_row(self, row: VersionedRow) -> None:
         self.roster.loaded = True
         self.roster.take(row)
-        self._weights.take(row)
+        self._weights.apply_row(row)
         self.crashes.apply_row(row)
 
     def _note_ended(self, upstream: FleetUpstream, end: StartEnd) -> None:
--- a/src/lifttrestle/internal/fleet/state/catalogue.py
+++ b/src/lifttrestle/internal/fleet/state/catalogue.py
@@ -181,7 +181,7 @@
             if workspace.cap is not None
         }
 
-    def names(self, entry: UpstreamEntry) -> bool:
+    def includes(self, entry: UpstreamEntry) -> bool:
         """Return whether an entry is one of a service's upstreams.
 
         An engine that tells of no model is none that can be used.
--- a/src/lifttrestle/internal/fleet/state/decoding.py
+++ b/src/lifttrestle/internal/fleet/state/decoding.py
@@ -32,13 +32,15 @@
     upstreams_table: str
 
     @abc.abstractmethod
-    def read_catalogue(self, key: str, value: bytes) -> Catalogue | None:
+    def decode_catalogue(self, key: str, value: bytes) -> Catalogue | None:
         """Return the configuration, or None for a row that holds none."""
 
     @abc.abstractmethod
-    def read_weights(self, key: str, value: bytes) -> NamedWeights | None:
+    def decode_target_weights(
+        self, key: str, value: bytes
+    ) -> NamedWeights | None:
         """Return the named weights, or None for a row that names none."""
 
     @abc.abstractmethod
-    def read_upstream(self, key: str, value: bytes) -> UpstreamEntry:
+    def decode_upstream(self, key: str, value: bytes) -> UpstreamEntry:
         """Return an upstream's entry."""
--- a/src/lifttrestle/internal/fleet/state/directory.py
+++ b/src/lifttrestle/internal/fleet/state/directory.py
@@ -81,7 +81,7 @@
             [
                 upstream
                 for upstream in self._known.values()
-                if catalogue is None or catalogue.names(upstream.entry)
+                if catalogue is None or catalogue.includes(upstream.entry)
             ]
         )
 
@@ -104,7 +104,7 @@
             self._note_removed(row.key)
             return
         try:
-            entry = self._format.read_upstream(row.key, row.value)
+            entry = self._format.decode_upstream(row.key, row.value)
             _check_names(entry)
         except ValueError as error:
             self._refusals.note('upstreams', row.key, error)
--- a/src/lifttrestle/internal/fleet/state/operator_view.py
+++ b/src/lifttrestle/internal/fleet/state/operator_view.py
@@ -34,7 +34,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class WantedWeights:
+class TargetWeightsHistory:
     """The versions of a model's weights that were named.
 
     :ivar version: the newest.
@@ -44,7 +44,7 @@
     version: int
     seen_at: tuple[tuple[int, float], ...]
 
-    def find_replaced(self, held: int) -> float | None:
+    def find_replaced_at(self, held: int) -> float | None:
         """Return when weights ``held`` were replaced, None if never."""
         for version, seen_at in self.seen_at:
             if version > held:
@@ -71,16 +71,16 @@
         self._clock = clock
         self._weights_seconds = weights_seconds
         self.catalogue: Catalogue | None = None
-        self.wanted: dict[str, WantedWeights] = {}
+        self.target_weights: dict[str, TargetWeightsHistory] = {}
 
-    def take(self, row: VersionedRow) -> None:
+    def apply_row(self, row: VersionedRow) -> None:
         """Take in a changed row of the operator's table."""
         if row.value is None:
             LOG.warning('view.row_removed_and_kept', key=row.key)
             return
         try:
-            catalogue = self._format.read_catalogue(row.key, row.value)
-            named = self._format.read_weights(row.key, row.value)
+            catalogue = self._format.decode_catalogue(row.key, row.value)
+            named = self._format.decode_target_weights(row.key, row.value)
         except ValueError as error:
             self._refusals.note('operator', row.key, error)
             return
@@ -104,7 +104,7 @@
         LOG.info('view.applied', version=catalogue.version)
 
     def _want(self, model: str, version: int) -> None:
-        held = self.wanted.get(model)
+        held = self.target_weights.get(model)
         if held is not None and held.version >= version:
             return
         now = self._clock.monotonic()
@@ -112,7 +112,7 @@
             # Nobody knows how long ago it was named.
             now -= max(self._weights_seconds - SETTLE_SECONDS, 0.0)
         earlier = held.seen_at if held is not None else ()
-        self.wanted[model] = WantedWeights(
+        self.target_weights[model] = TargetWeightsHistory(
             version, (*earlier, (version, now))[-MAX_REMEMBERED:]
         )
         LOG.info('weights.named', model=model, version=version)
--- a/src/lifttrestle/internal/fleet/state/relay_follower.py
+++ b/src/lifttrestle/internal/fleet/state/relay_follower.py
@@ -26,10 +26,10 @@
 from lifttrestle.internal.clock.clock import Clock
 from lifttrestle.internal.fleet.state.relay_messages import encode_frame
 from lifttrestle.internal.fleet.state.relay_messages import MAX_NEWS_BYTES
-from lifttrestle.internal.fleet.state.relay_messages import Question
 from lifttrestle.internal.fleet.state.relay_messages import read_frame
 from lifttrestle.internal.fleet.state.relay_messages import read_news
-from lifttrestle.internal.fleet.state.relay_messages import TableNews
+from lifttrestle.internal.fleet.state.relay_messages import SubscribeRequest
+from lifttrestle.internal.fleet.state.relay_messages import TableUpdate
 from lifttrestle.internal.fleet.state.roster import Roster
 from lifttrestle.internal.fleet.state.table_watch import TableWatch
 from lifttrestle.internal.http.address import check_address
@@ -185,7 +185,7 @@
             asked_at = [self._question(writer, 0)]
             while True:
                 data = await read_frame(reader, MAX_NEWS_BYTES)
-                self._take(decode_msgpack(data, TableNews), asked_at)
+                self._take(decode_msgpack(data, TableUpdate), asked_at)
                 if self._clock.monotonic() - asked_at[-1] > RENEW_SECONDS:
                     asked_at.append(self._question(writer, len(asked_at)))
         finally:
@@ -199,10 +199,10 @@
             if watch.copy.loaded
         }
         now = self._clock.monotonic()
-        writer.write(encode_frame(Question(number, versions)))
+        writer.write(encode_frame(SubscribeRequest(number, versions)))
         return now
 
-    def _take(self, message: TableNews, asked_at: list[float]) -> None:
+    def _take(self, message: TableUpdate, asked_at: list[float]) -> None:
         """Believe a proof, counted from when the question was sent.
 
         :raises InputRefused: if it proves what is not yet.
@@ -211,18 +211,20 @@
         if watch is None or not 0 <= message.question < len(asked_at):
             LOG.warning('relay.unexpected', table=message.table)
             return
-        proved_at = asked_at[message.question] + message.proved_after
-        if not proved_at <= self._clock.monotonic():
+        current_as_of = asked_at[message.question] + message.proved_after
+        if not current_as_of <= self._clock.monotonic():
             # Keys that are taken away would work for as long as it says.
             raise InputRefused(
                 InputFault.FIELD,
                 f'a proof as of {message.proved_after} s after the question'
                 ' is not over yet',
             )
-        previous_proved_at = watch.proved_at
-        watch.take_relayed(read_news(message), proved_at, message.after_outage)
+        previous_proved_at = watch.current_as_of
+        watch.take_relayed(
+            read_news(message), current_as_of, message.after_outage
+        )
         # News that proves nothing must not delay reading the store directly.
-        if watch is self._leading and watch.proved_at > previous_proved_at:
+        if watch is self._leading and watch.current_as_of > previous_proved_at:
             self._told_at = self._clock.monotonic()
 
     def _choose_source(self) -> None:
@@ -230,7 +232,7 @@
         silent = now - self._told_at > SILENT_SECONDS
         directly = silent or (self._roster.loaded and self.is_relay())
         for watch in self._watches.values():
-            watch.read_directly(directly)
+            watch.set_direct_reads(directly)
         if directly is not self._directly:
             self._directly = directly
             LOG.info('relay.source', store=directly)
--- a/src/lifttrestle/internal/fleet/state/relay_messages.py
+++ b/src/lifttrestle/internal/fleet/state/relay_messages.py
@@ -18,7 +18,7 @@
 
 from lifttrestle.internal.fleet.state.rows import RowChanges
 from lifttrestle.internal.fleet.state.rows import VersionedRow
-from lifttrestle.internal.fleet.state.table_copy import CopyNews
+from lifttrestle.internal.fleet.state.table_copy import CopyUpdate
 
 LENGTH_BYTES = 4
 # Several times what a whole table holds: rows are at most 64 KiB.
@@ -27,7 +27,7 @@
 MAX_QUESTION_BYTES = 4 * 1024
 
 
-class Question(msgspec.Struct, frozen=True, array_like=True):
+class SubscribeRequest(msgspec.Struct, frozen=True, array_like=True):
     """Asks for all news of the tables from now on.
 
     :ivar number: of the question; news are told to answer one.
@@ -46,7 +46,7 @@
     version: int
 
 
-class TableNews(msgspec.Struct, frozen=True, array_like=True):
+class TableUpdate(msgspec.Struct, frozen=True, array_like=True):
     """A proof, and what changed since the last one on this connection.
 
     :ivar question: the question that it answers.
@@ -70,12 +70,12 @@
 def build_news(
     question: int,
     table: str,
-    news: CopyNews,
+    news: CopyUpdate,
     proved_after: float,
     after_outage: bool,
-) -> TableNews:
+) -> TableUpdate:
     """Return the message that tells ``news``."""
-    return TableNews(
+    return TableUpdate(
         question,
         table,
         news.changes.version,
@@ -89,12 +89,12 @@
     )
 
 
-def read_news(message: TableNews) -> CopyNews:
+def read_news(message: TableUpdate) -> CopyUpdate:
     """Return what a message tells."""
     rows = tuple(
         VersionedRow(row.key, row.value, row.version) for row in message.rows
     )
-    return CopyNews(RowChanges(rows, message.version), message.whole)
+    return CopyUpdate(RowChanges(rows, message.version), message.whole)
 
 
 def encode_frame(message: msgspec.Struct) -> bytes:
--- a/src/lifttrestle/internal/fleet/state/relay_server.py
+++ b/src/lifttrestle/internal/fleet/state/relay_server.py
@@ -20,8 +20,8 @@
 from lifttrestle.internal.fleet.state.relay_messages import build_news
 from lifttrestle.internal.fleet.state.relay_messages import encode_frame
 from lifttrestle.internal.fleet.state.relay_messages import MAX_QUESTION_BYTES
-from lifttrestle.internal.fleet.state.relay_messages import Question
 from lifttrestle.internal.fleet.state.relay_messages import read_frame
+from lifttrestle.internal.fleet.state.relay_messages import SubscribeRequest
 from lifttrestle.internal.fleet.state.table_watch import TableWatch
 from lifttrestle.internal.http.address import Address
 from lifttrestle.internal.http.byte_stream import bound_silence
@@ -47,7 +47,7 @@
     """
 
     writer: asyncio.StreamWriter
-    question: Question | None = None
+    question: SubscribeRequest | None = None
     asked_at: float = 0.0
     versions: dict[str, int] = dataclasses.field(default_factory=dict)
 
@@ -108,7 +108,7 @@
             writer.transport.abort()
 
     def _take_question(self, follower: Follower, data: bytes) -> None:
-        question = decode_msgpack(data, Question)
+        question = decode_msgpack(data, SubscribeRequest)
         follower.asked_at = self._clock.monotonic()
         follower.question = question
         follower.versions = dict(question.versions)
@@ -133,7 +133,7 @@
             follower.question.number,
             table,
             news,
-            watch.proved_at - follower.asked_at,
+            watch.current_as_of - follower.asked_at,
             watch.lost,
         )
         follower.versions[table] = max(
--- a/src/lifttrestle/internal/fleet/state/restore_policy.py
+++ b/src/lifttrestle/internal/fleet/state/restore_policy.py
@@ -77,10 +77,10 @@
         """Return the operator's version in the value, None if unreadable."""
         assert row.value is not None, 'a row in a table has a value'
         try:
-            catalogue = self._format.read_catalogue(row.key, row.value)
+            catalogue = self._format.decode_catalogue(row.key, row.value)
             if catalogue is not None:
                 return catalogue.version
-            named = self._format.read_weights(row.key, row.value)
+            named = self._format.decode_target_weights(row.key, row.value)
         except ValueError:
             # The table's listener reports invalid rows.
             return None
@@ -90,15 +90,15 @@
 class UpstreamPolicy(RestorePolicy):
     """Keeps draining and removed upstreams from getting new requests.
 
-    :param lapse_seconds: the time within which the store drops the entry of
+    :param expiry_seconds: the time within which the store drops the entry of
         an upstream that has stopped.
     """
 
     def __init__(
-        self, stored_format: StoredFormat, lapse_seconds: float
+        self, stored_format: StoredFormat, expiry_seconds: float
     ) -> None:
         self._format = stored_format
-        self.withhold_seconds = lapse_seconds
+        self.withhold_seconds = expiry_seconds
 
     def keeps(self, held: VersionedRow, restored: VersionedRow | None) -> bool:
         """Return whether only the held entry of the same start is draining."""
@@ -106,8 +106,8 @@
             return False
         assert held.value is not None and restored.value is not None
         try:
-            held_entry = self._format.read_upstream(held.key, held.value)
-            restored_entry = self._format.read_upstream(
+            held_entry = self._format.decode_upstream(held.key, held.value)
+            restored_entry = self._format.decode_upstream(
                 restored.key, restored.value
             )
         except ValueError:
--- a/src/lifttrestle/internal/fleet/state/table_copy.py
+++ b/src/lifttrestle/internal/fleet/state/table_copy.py
@@ -44,7 +44,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class CopyNews:
+class CopyUpdate:
     """What changed in a copy since some version, or all of it.
 
     :ivar whole: ``changes`` holds every row; others are gone.
@@ -94,7 +94,7 @@
         self.table = table
         self.loaded = False
         self.version = NO_ROW
-        self.proved_at = NEVER
+        self.current_as_of = NEVER
         self._clock = clock
         self._listener = listener
         self._policy = policy or AcceptAllPolicy()
@@ -107,9 +107,11 @@
 
     def get_age(self) -> float:
         """Return for how many seconds nothing has proved what is held."""
-        return self._clock.monotonic() - self.proved_at
+        return self._clock.monotonic() - self.current_as_of
 
-    def take_whole(self, snapshot: RowChanges, proved_at: float) -> None:
+    def apply_snapshot(
+        self, snapshot: RowChanges, current_as_of: float
+    ) -> None:
         """Take in all rows of the table.
 
         :raises PlatformUnavailable: if they are older than what is held.
@@ -127,7 +129,7 @@
                 snapshot, RowOrigin.WRITTEN
             )
         self.loaded = True
-        self.take_changes(RowChanges(rows, snapshot.version), proved_at)
+        self.apply_changes(RowChanges(rows, snapshot.version), current_as_of)
         # What was removed in between and was never here is not known.
         self._changes.clear()
         self._changes_from = self.version
@@ -183,7 +185,7 @@
         self._withheld[row.key] = WithheldRow(row, until)
         return None
 
-    def take_changes(self, changes: RowChanges, proved_at: float) -> None:
+    def apply_changes(self, changes: RowChanges, current_as_of: float) -> None:
         """Take in what changed, from the version that is held or before.
 
         Several sources tell of the same changes, and some tell late: a row
@@ -202,7 +204,7 @@
             if row.value is not None or known is not None:
                 self._listener(row)
         self.version = max(self.version, changes.version)
-        self.proved_at = max(self.proved_at, proved_at)
+        self.current_as_of = max(self.current_as_of, current_as_of)
 
     def _store_row(
         self, row: VersionedRow, known: VersionedRow | None
@@ -249,16 +251,16 @@
             if now >= item.until and key not in changed_keys
         ]
 
-    def list_since(self, version: int) -> CopyNews:
+    def list_since(self, version: int) -> CopyUpdate:
         """Return what changed after a version, or all rows if unknown."""
         if version < self._changes_from:
             rows = tuple(self._rows.values())
-            return CopyNews(RowChanges(rows, self.version), True)
+            return CopyUpdate(RowChanges(rows, self.version), True)
         newest = {
             row.key: row for row in self._changes if row.version > version
         }
         rows = tuple(newest.values())
-        return CopyNews(RowChanges(rows, self.version), False)
+        return CopyUpdate(RowChanges(rows, self.version), False)
 
     def _keep(self, row: VersionedRow) -> None:
         self._changes.append(row)
--- a/src/lifttrestle/internal/fleet/state/table_watch.py
+++ b/src/lifttrestle/internal/fleet/state/table_watch.py
@@ -29,7 +29,7 @@
 from lifttrestle.internal.fleet.state.rows import NO_ROW
 from lifttrestle.internal.fleet.state.rows import RowChanges
 from lifttrestle.internal.fleet.state.rows import RowStore
-from lifttrestle.internal.fleet.state.table_copy import CopyNews
+from lifttrestle.internal.fleet.state.table_copy import CopyUpdate
 from lifttrestle.internal.fleet.state.table_copy import RowListener
 from lifttrestle.internal.fleet.state.table_copy import TableCopy
 from lifttrestle.internal.telemetry.event_log import get_event_log
@@ -47,7 +47,7 @@
     :param wait_seconds: how long the store holds a read without news; a
         watch that is silent for longer is taken for dead by the client.
     :param listener: is called with each row that is new, changed or removed.
-    :param rest_seconds: between news and the next read, so that changes that
+    :param batch_seconds: between news and the next read, so that changes that
         come together cost one read.
     :param eager: read the table once without being told to; else another
         router may tell all of it first.
@@ -63,7 +63,7 @@
         source: random.Random,
         wait_seconds: float,
         listener: RowListener,
-        rest_seconds: float = 0.0,
+        batch_seconds: float = 0.0,
         *,
         eager: bool = True,
         policy: RestorePolicy | None = None,
@@ -74,7 +74,7 @@
         self._clock = clock
         self._source = source
         self._wait_seconds = wait_seconds
-        self._rest_seconds = rest_seconds
+        self._rest_seconds = batch_seconds
         self._history_gone = False
         self._lost = False
         self._direct = asyncio.Event()
@@ -96,15 +96,15 @@
         return self._table
 
     @property
-    def proved_at(self) -> float:
+    def current_as_of(self) -> float:
         """Return until when what is held is known to be current."""
-        return self.copy.proved_at
+        return self.copy.current_as_of
 
     def get_age(self) -> float:
         """Return for how many seconds nothing has proved what is held."""
         return self.copy.get_age()
 
-    def read_directly(self, directly: bool) -> None:
+    def set_direct_reads(self, directly: bool) -> None:
         """Read the store, or leave that to other routers from now on."""
         if directly:
             self._direct.set()
@@ -116,7 +116,7 @@
         self._followers.append(follower)
 
     def take_relayed(
-        self, news: CopyNews, proved_at: float, after_outage: bool
+        self, news: CopyUpdate, current_as_of: float, after_outage: bool
     ) -> None:
         """Take in what another router has read.
 
@@ -136,8 +136,8 @@
         if news.whole and news.changes.version < self.copy.version:
             # It was overtaken by this router's own read; what it proves
             # holds, as nothing newer was there.
-            news = CopyNews(RowChanges((), news.changes.version), False)
-        self._take(news, proved_at)
+            news = CopyUpdate(RowChanges((), news.changes.version), False)
+        self._take(news, current_as_of)
 
     def restart_with(self, other: 'TableWatch') -> None:
         """Read anew when ``other`` has regained the store.
@@ -173,7 +173,7 @@
         asked_at = self._clock.monotonic()
         if not self.copy.loaded or self._history_gone:
             snapshot = await self._store.read_table(self._table)
-            self._take(CopyNews(snapshot, True), asked_at)
+            self._take(CopyUpdate(snapshot, True), asked_at)
             self._history_gone = False
             return True
         # While it is lost, a read that waits would tell of the store's
@@ -189,7 +189,7 @@
             )
             self._history_gone = True
             return False
-        self._take(CopyNews(changes, False), asked_at)
+        self._take(CopyUpdate(changes, False), asked_at)
         return bool(changes.rows)
 
     def restart(self) -> None:
@@ -197,11 +197,13 @@
         if self._reading is not None:
             self._reading.cancel()
 
-    def _take(self, news: CopyNews, proved_at: float) -> None:
+    def _take(self, news: CopyUpdate, current_as_of: float) -> None:
         previous_version = self.copy.version
         age = self.get_age()
-        take = self.copy.take_whole if news.whole else self.copy.take_changes
-        take(news.changes, proved_at)
+        take = (
+            self.copy.apply_snapshot if news.whole else self.copy.apply_changes
+        )
+        take(news.changes, current_as_of)
         if previous_version != NO_ROW:
             self._note_epoch_change(previous_version, age)
         for follower in self._followers:
--- a/src/lifttrestle/internal/fleet/state/weights_view.py
+++ b/src/lifttrestle/internal/fleet/state/weights_view.py
@@ -54,7 +54,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class HeldPlan:
+class ObservedPlan:
     """A plan with the version of its row and when it was first seen.
 
     :ivar epoch: the store's epoch in which the row was seen, or found to be
@@ -82,22 +82,22 @@
         self._directory = directory
         self._refusals = refusals or InputRefusals()
         self._clock = clock
-        self._held: dict[str, HeldPlan] = {}
+        self._held: dict[str, ObservedPlan] = {}
         self._epoch = 0
         # When a row of this epoch was first seen. The lease of a missing plan
         # counts from then, as the restored store may have lost the plan.
         self._epoch_seen_at = float('-inf')
 
-    def get(self, model: str) -> HeldPlan:
+    def get(self, model: str) -> ObservedPlan:
         """Return the newest plan seen for a model."""
         held = self._held.get(model)
         # The rows of an epoch are reported together: a plan that is known
         # from an earlier one only is not in the restored store.
         if held is None or held.epoch < self._epoch:
-            return HeldPlan(None, NO_ROW, self._epoch_seen_at, self._epoch)
+            return ObservedPlan(None, NO_ROW, self._epoch_seen_at, self._epoch)
         return held
 
-    def take(self, row: VersionedRow) -> None:
+    def apply_row(self, row: VersionedRow) -> None:
         """Take in a changed row of the routers' table.
 
         A row that holds no plan has no holder; it still is the row that the
@@ -119,7 +119,7 @@
             self._note_no_plan(model, row.version, row.version)
             return
         restored = row.origin is not RowOrigin.WRITTEN
-        self.note(plan, row.version, restored=restored)
+        self.apply_plan(plan, row.version, restored=restored)
 
     def _note_no_plan(
         self, model: str, seen_version: int, row_version: int
@@ -128,17 +128,17 @@
             return
         now = self._clock.monotonic()
         epoch = get_epoch(seen_version)
-        self._held[model] = HeldPlan(None, row_version, now, epoch)
+        self._held[model] = ObservedPlan(None, row_version, now, epoch)
         LOG.warning('weights.no_plan', model=model, fence=row_version)
 
-    def note(
+    def apply_plan(
         self, plan: WeightsPlan, row_version: int, *, restored: bool = False
     ) -> None:
         """Believe a plan, unless a newer one is known."""
         if row_version <= self.get(plan.model).row_version:
             return
         now = self._clock.monotonic()
-        self._held[plan.model] = HeldPlan(
+        self._held[plan.model] = ObservedPlan(
             plan, row_version, now, get_epoch(row_version), restored
         )
         LOG.info(
--- a/src/lifttrestle/internal/platform/stored_format.py
+++ b/src/lifttrestle/internal/platform/stored_format.py
@@ -51,7 +51,7 @@
     operator_table = names.OPERATOR_TABLE
     upstreams_table = names.UPSTREAMS_TABLE
 
-    def read_catalogue(self, key: str, value: bytes) -> Catalogue | None:
+    def decode_catalogue(self, key: str, value: bytes) -> Catalogue | None:
         """Return the configuration, or None for a row that holds none."""
         if key != names.CONFIGURATION_KEY:
             return None
@@ -74,14 +74,16 @@
             faults=faults,
         )
 
-    def read_weights(self, key: str, value: bytes) -> NamedWeights | None:
+    def decode_target_weights(
+        self, key: str, value: bytes
+    ) -> NamedWeights | None:
         """Return the named weights, or None for a row that names none."""
         if not key.startswith(names.WEIGHTS_PREFIX):
             return None
         record = decode_json(value, WeightsRecord)
         return NamedWeights(record.model, record.version)
 
-    def read_upstream(self, key: str, value: bytes) -> UpstreamEntry:
+    def decode_upstream(self, key: str, value: bytes) -> UpstreamEntry:
         """Return an upstream's entry."""
         record = decode_json(value, UpstreamRecord, MAX_ENTRY_BYTES)
         return UpstreamEntry(
--- a/tests/cover/test_decisions.py
+++ b/tests/cover/test_decisions.py
@@ -24,7 +24,7 @@
 from lifttrestle.internal.fleet.policy.shedding import MAX_RETRY_SECONDS
 from lifttrestle.internal.fleet.policy.shedding import MIN_RETRY_SECONDS
 from lifttrestle.internal.fleet.policy.weights_fit import select_engines
-from lifttrestle.internal.fleet.state.operator_view import WantedWeights
+from lifttrestle.internal.fleet.state.operator_view import TargetWeightsHistory
 from tests.support.directories import DirectoryCase
 
 
@@ -114,7 +114,7 @@
         for name in 'ab':
             self.put(name, models=[1])
         self.engines = list_engines(self.directory, 'm')
-        self.wanted = WantedWeights(2, ((2, 10.0),))
+        self.wanted = TargetWeightsHistory(2, ((2, 10.0),))
 
     def _select(self, now):
         return select_engines(self.engines, 'm', self.wanted, now, 10.0)
--- a/tests/cover/test_fleet_view.py
+++ b/tests/cover/test_fleet_view.py
@@ -70,7 +70,7 @@
     def put(self, key, content):
         self.commit += 1
         row = VersionedRow(key, msgspec.json.encode(content), self.commit)
-        self.view.take(row)
+        self.view.apply_row(row)
 
     def configure(self, **fields):
         self.put('config', {**CONFIGURATION, **fields})
@@ -169,7 +169,7 @@
     def test_unreadable_row_leaves_what_is_in_force(self):
         self.configure()
         with self.assertLogs('lifttrestle.intake', 'ERROR'):
-            self.view.take(VersionedRow('config', b'{"version":', 9))
+            self.view.apply_row(VersionedRow('config', b'{"version":', 9))
         self.assertEqual(self.view.catalogue.version, 3)
 
     def test_regression_weights_are_judged_from_what_replaced_them(self):
@@ -180,13 +180,13 @@
         for version in (2, 3):
             self.clock.advance(4.0)
             self.name_weights(version)
-        wanted = self.view.wanted['m']
-        self.assertEqual(wanted.find_replaced(1), 4.0)
-        self.assertEqual(wanted.find_replaced(2), 8.0)
-        self.assertIsNone(wanted.find_replaced(3))
+        wanted = self.view.target_weights['m']
+        self.assertEqual(wanted.find_replaced_at(1), 4.0)
+        self.assertEqual(wanted.find_replaced_at(2), 8.0)
+        self.assertIsNone(wanted.find_replaced_at(3))
 
     def test_weights_named_before_the_start_are_nearly_due(self):
         self.clock.advance(100.0)
         self.name_weights(5)
-        replaced_at = self.view.wanted['m'].find_replaced(4)
+        replaced_at = self.view.target_weights['m'].find_replaced_at(4)
         self.assertEqual(replaced_at, 100.0 - (8.5 - 3.0))
--- a/tests/cover/test_fleet_watch.py
+++ b/tests/cover/test_fleet_watch.py
@@ -20,7 +20,7 @@
 from lifttrestle.errors import PlatformUnavailable
 from lifttrestle.internal.clock.manual import ManualClock
 from lifttrestle.internal.fleet.state.rows import RowChanges
-from lifttrestle.internal.fleet.state.table_copy import CopyNews
+from lifttrestle.internal.fleet.state.table_copy import CopyUpdate
 from lifttrestle.internal.fleet.state.table_watch import TableWatch
 from tests.support.memory_rows import MemoryRows
 
@@ -34,7 +34,7 @@
         self.heard = []
         self.watch = self.make_watch()
 
-    def make_watch(self, rest_seconds=0.0):
+    def make_watch(self, batch_seconds=0.0):
         return TableWatch(
             self.rows,
             't',
@@ -42,7 +42,7 @@
             random.Random(1),
             1.5,
             self.heard.append,
-            rest_seconds,
+            batch_seconds,
         )
 
     def step(self):
@@ -152,7 +152,7 @@
             return changes
 
         self.rows.watch_table = note_read
-        self.watch = self.make_watch(rest_seconds=0.2)
+        self.watch = self.make_watch(batch_seconds=0.2)
         self.step()
         self.rows.put('t', 'a', b'1')
 
@@ -251,8 +251,8 @@
     def test_relayed_news_without_epoch_proves_nothing(self):
         self.rows.restore(self.rows.take_snapshot())
         self.step()
-        proved_at = self.watch.proved_at
+        current_as_of = self.watch.current_as_of
         self.clock.advance(1.0)
-        news = CopyNews(RowChanges((), 57), False)
+        news = CopyUpdate(RowChanges((), 57), False)
         self.watch.take_relayed(news, self.clock.monotonic(), False)
-        self.assertEqual(self.watch.proved_at, proved_at)
+        self.assertEqual(self.watch.current_as_of, current_as_of)
--- a/tests/cover/test_fleet_weights.py
+++ b/tests/cover/test_fleet_weights.py
@@ -152,16 +152,16 @@
         )
         self._heard = changes.version
         for row in changes.rows:
-            self.plans.take(row)
+            self.plans.apply_row(row)
 
     def name(self, version):
         content = {'model': 'm', 'version': version}
-        self.view.take(
+        self.view.apply_row(
             VersionedRow('version/m', msgspec.json.encode(content), version)
         )
 
     def act(self):
-        if 'm' not in self.view.wanted:
+        if 'm' not in self.view.target_weights:
             return
         try:
             asyncio.run(self.loader.serve_model('m'))
@@ -250,7 +250,7 @@
 
     def __init__(self, name, time, rows, engines, loader_class):
         super().__init__(name, time, rows, engines, loader_class)
-        self.table_copy = TableCopy(FLEET_TABLE, time, self.plans.take)
+        self.table_copy = TableCopy(FLEET_TABLE, time, self.plans.apply_row)
 
     def hear(self):
         if self.rows.down:
@@ -258,10 +258,10 @@
         after = self.table_copy.version
         if self.table_copy.loaded and get_epoch(after) == self.rows.epoch:
             read = self.rows.watch_table(FLEET_TABLE, after, 0)
-            self.table_copy.take_changes(asyncio.run(read), 0.0)
+            self.table_copy.apply_changes(asyncio.run(read), 0.0)
             return
         read = self.rows.read_table(FLEET_TABLE)
-        self.table_copy.take_whole(asyncio.run(read), 0.0)
+        self.table_copy.apply_snapshot(asyncio.run(read), 0.0)
 
 
 class RestoredStoreMachine(LoaderMachine):
--- a/tests/cover/test_refused_input.py
+++ b/tests/cover/test_refused_input.py
@@ -28,8 +28,8 @@
 from lifttrestle.internal.fleet.state.directory import UpstreamDirectory
 from lifttrestle.internal.fleet.state.load_messages import LoadReport
 from lifttrestle.internal.fleet.state.operator_view import OperatorView
-from lifttrestle.internal.fleet.state.relay_messages import Question
-from lifttrestle.internal.fleet.state.relay_messages import TableNews
+from lifttrestle.internal.fleet.state.relay_messages import SubscribeRequest
+from lifttrestle.internal.fleet.state.relay_messages import TableUpdate
 from lifttrestle.internal.fleet.state.roster import Roster
 from lifttrestle.internal.fleet.state.rows import VersionedRow
 from lifttrestle.internal.fleet.state.weights_view import WeightsPlan
@@ -202,8 +202,10 @@
         other = msgspec.json.encode(WeightsPlan('r1', 'other', 2))
         for commit, value in enumerate((b'?', DEEP, other, None), 10):
             with self.subTest(value=value and value[:20]):
-                view.take(VersionedRow('weights/m', plan, commit * 10))
-                view.take(VersionedRow('weights/m', value, commit * 10 + 1))
+                view.apply_row(VersionedRow('weights/m', plan, commit * 10))
+                view.apply_row(
+                    VersionedRow('weights/m', value, commit * 10 + 1)
+                )
                 held = view.get('m')
                 self.assertIsNone(held.plan)
                 # A write has to name the row as it now is.
@@ -223,9 +225,9 @@
         view = OperatorView(PlatformFormat(), self.clock, 8.0, self.refusals)
         for key in ('config', 'version/m'):
             for value in (b'?', DEEP, b'{"version":"x"}'):
-                view.take(VersionedRow(key, value, 1))
+                view.apply_row(VersionedRow(key, value, 1))
         self.assertIsNone(view.catalogue)
-        self.assertEqual(view.wanted, {})
+        self.assertEqual(view.target_weights, {})
         self.assertEqual(len(self.counted), 6)
 
     def test_value_that_is_not_base64_is_a_row_without_bytes(self):
@@ -240,8 +242,8 @@
         for decode, data, model in (
             (decode_json, DEEP, ReportRecord),
             (decode_msgpack, DEEP_PACKED, LoadReport),
-            (decode_msgpack, DEEP_PACKED, Question),
-            (decode_msgpack, DEEP_PACKED, TableNews),
+            (decode_msgpack, DEEP_PACKED, SubscribeRequest),
+            (decode_msgpack, DEEP_PACKED, TableUpdate),
         ):
             with self.subTest(model=model):
                 with self.assertRaises(InputRefused):
@@ -249,7 +251,7 @@
 
     @given(st.binary(max_size=300))
     def test_any_bytes_are_a_message_or_refused(self, data):
-        for model in (LoadReport, Question, TableNews):
+        for model in (LoadReport, SubscribeRequest, TableUpdate):
             try:
                 self.assertIsInstance(decode_msgpack(data, model), model)
             except InputRefused:
--- a/tests/cover/test_relay_follower.py
+++ b/tests/cover/test_relay_follower.py
@@ -27,7 +27,7 @@
 from lifttrestle.internal.fleet.state.relay_follower import LOOK_SECONDS
 from lifttrestle.internal.fleet.state.relay_follower import RANKING
 from lifttrestle.internal.fleet.state.relay_follower import RelayFollower
-from lifttrestle.internal.fleet.state.relay_messages import TableNews
+from lifttrestle.internal.fleet.state.relay_messages import TableUpdate
 from lifttrestle.internal.fleet.state.roster import Roster
 from lifttrestle.internal.fleet.state.roster import RouterRow
 from lifttrestle.internal.fleet.state.rows import VersionedRow
@@ -125,11 +125,11 @@
         # away work on.
         asked_at = [self.clock.monotonic()]
         for seconds in (0.5, float('inf'), float('nan')):
-            news = TableNews(0, 't', 1, seconds, False, True, [])
+            news = TableUpdate(0, 't', 1, seconds, False, True, [])
             with self.subTest(seconds=seconds):
                 with self.assertRaises(InputRefused):
                     self.follower._take(news, asked_at)
         self.follower._take(
-            TableNews(0, 't', 1, -0.5, False, True, []), asked_at
+            TableUpdate(0, 't', 1, -0.5, False, True, []), asked_at
         )
-        self.assertEqual(self.watch.proved_at, asked_at[0] - 0.5)
+        self.assertEqual(self.watch.current_as_of, asked_at[0] - 0.5)
--- a/tests/cover/test_relay_model.py
+++ b/tests/cover/test_relay_model.py
@@ -33,7 +33,7 @@
 from lifttrestle.internal.clock.manual import ManualClock
 from lifttrestle.internal.fleet.state.relay_follower import RelayFollower
 from lifttrestle.internal.fleet.state.relay_messages import LENGTH_BYTES
-from lifttrestle.internal.fleet.state.relay_messages import TableNews
+from lifttrestle.internal.fleet.state.relay_messages import TableUpdate
 from lifttrestle.internal.fleet.state.relay_server import Follower
 from lifttrestle.internal.fleet.state.relay_server import RelayServer
 from lifttrestle.internal.fleet.state.roster import Roster
@@ -41,7 +41,7 @@
 from lifttrestle.internal.fleet.state.row_version import get_commit_number
 from lifttrestle.internal.fleet.state.row_version import get_epoch
 from lifttrestle.internal.fleet.state.rows import RowStore
-from lifttrestle.internal.fleet.state.table_copy import CopyNews
+from lifttrestle.internal.fleet.state.table_copy import CopyUpdate
 from lifttrestle.internal.fleet.state.table_watch import TableWatch
 from tests.support.memory_rows import MemoryRows
 from tests.support.memory_rows import RowsSnapshot
@@ -277,7 +277,7 @@
         connection = self.connections[number]
         for _ in range(min(count, len(connection.news.frames))):
             frame = connection.news.frames.popleft()
-            message = msgspec.msgpack.decode(frame, type=TableNews)
+            message = msgspec.msgpack.decode(frame, type=TableUpdate)
             connection.follower.follower._take(message, connection.asked_at)
 
     @stateful.invariant()
@@ -294,7 +294,7 @@
             epoch = get_epoch(copy.version)
             for commit in self.commits:
                 # At the very moment of the read, either is right.
-                if commit.committed_at >= copy.proved_at:
+                if commit.committed_at >= copy.current_as_of:
                     continue
                 if epoch > max(commit.versions_by_epoch):
                     # The restore discarded this commit.
@@ -342,7 +342,7 @@
 class LateProofWatch(TableWatch):
     """Planted fault: a read proves the moment of its answer."""
 
-    def _take(self, news, proved_at):
+    def _take(self, news, current_as_of):
         super()._take(news, self._clock.monotonic())
 
 
@@ -378,7 +378,9 @@
         def list_kept(version):
             news = full(version)
             kept = tuple(row for row in news.changes.rows if row.value)
-            return CopyNews(type(news.changes)(kept, copy.version), news.whole)
+            return CopyUpdate(
+                type(news.changes)(kept, copy.version), news.whole
+            )
 
         copy.list_since = list_kept
         try:
--- a/tests/cover/test_restored_rows.py
+++ b/tests/cover/test_restored_rows.py
@@ -45,14 +45,14 @@
         self.heard = []
         self.copy = TableCopy('t', self.clock, self.heard.append, self.policy)
 
-    def take_whole(self, epoch, number, **rows):
+    def apply_snapshot(self, epoch, number, **rows):
         """Take in a whole table; rows map keys to (commit number, value)."""
         self.heard.clear()
-        self.copy.take_whole(self.make_changes(epoch, number, rows), 0.0)
+        self.copy.apply_snapshot(self.make_changes(epoch, number, rows), 0.0)
 
-    def take_changes(self, epoch, number, **rows):
+    def apply_changes(self, epoch, number, **rows):
         self.heard.clear()
-        self.copy.take_changes(self.make_changes(epoch, number, rows), 0.0)
+        self.copy.apply_changes(self.make_changes(epoch, number, rows), 0.0)
 
     def make_changes(self, epoch, number, rows):
         versioned_rows = tuple(
@@ -72,8 +72,8 @@
 
 class TestDefaultPolicy(TableCopyTestCase):
     def test_restored_rows_are_accepted(self):
-        self.take_whole(1, 9, a=(3, b'1'), b=(9, b'2'))
-        self.take_whole(2, 5, a=(3, b'1'), c=(5, b'3'))
+        self.apply_snapshot(1, 9, a=(3, b'1'), b=(9, b'2'))
+        self.apply_snapshot(2, 5, a=(3, b'1'), c=(5, b'3'))
         self.assertEqual(
             self.get_heard(),
             {
@@ -85,41 +85,41 @@
 
     def test_first_read_after_a_restore_marks_rows_as_restored(self):
         # A starting router holds no copy from the previous epoch.
-        self.take_whole(1, 9, a=(3, b'1'))
+        self.apply_snapshot(1, 9, a=(3, b'1'))
         self.assertEqual(self.get_heard(), {'a': (b'1', RowOrigin.RESTORED)})
 
     def test_reread_in_the_same_epoch_is_not_a_restore(self):
-        self.take_whole(1, 9, a=(3, b'1'), b=(9, b'2'))
-        self.take_whole(1, 12, a=(3, b'1'))
+        self.apply_snapshot(1, 9, a=(3, b'1'), b=(9, b'2'))
+        self.apply_snapshot(1, 12, a=(3, b'1'))
         self.assertEqual(self.get_heard(), {'b': (None, RowOrigin.WRITTEN)})
 
     def test_removed_row_that_returns_is_undeleted(self):
-        self.take_whole(1, 9, a=(3, b'1'))
-        self.take_changes(1, 10, a=(10, None))
-        self.take_whole(2, 5, a=(3, b'1'))
+        self.apply_snapshot(1, 9, a=(3, b'1'))
+        self.apply_changes(1, 10, a=(10, None))
+        self.apply_snapshot(2, 5, a=(3, b'1'))
         self.assertEqual(self.get_heard(), {'a': (b'1', RowOrigin.UNDELETED)})
 
     def test_regression_second_restore_hid_that_a_row_was_removed(self):
-        self.take_whole(1, 9, a=(3, b'1'))
-        self.take_changes(1, 10, a=(10, None))
+        self.apply_snapshot(1, 9, a=(3, b'1'))
+        self.apply_changes(1, 10, a=(10, None))
         for epoch in (2, 3):
-            self.take_whole(epoch, 5, a=(3, b'1'))
+            self.apply_snapshot(epoch, 5, a=(3, b'1'))
             self.assertEqual(
                 self.get_heard(), {'a': (b'1', RowOrigin.UNDELETED)}
             )
 
     def test_removed_row_that_is_written_after_restore_is_accepted(self):
-        self.take_whole(1, 9, a=(3, b'1'))
-        self.take_changes(1, 10, a=(10, None))
-        self.take_whole(2, 5, a=(4, b'2'))
+        self.apply_snapshot(1, 9, a=(3, b'1'))
+        self.apply_changes(1, 10, a=(10, None))
+        self.apply_snapshot(2, 5, a=(4, b'2'))
         self.assertEqual(self.get_heard(), {'a': (b'2', RowOrigin.RESTORED)})
 
     def test_removal_is_forgotten_after_the_retention_period(self):
-        self.take_whole(1, 9, a=(3, b'1'), b=(4, b'1'))
-        self.take_changes(1, 10, a=(10, None))
+        self.apply_snapshot(1, 9, a=(3, b'1'), b=(4, b'1'))
+        self.apply_changes(1, 10, a=(10, None))
         self.clock.advance(KEEP_REMOVED_SECONDS + 1)
-        self.take_changes(1, 11, b=(11, None))
-        self.take_whole(2, 5, a=(3, b'1'), b=(4, b'1'))
+        self.apply_changes(1, 11, b=(11, None))
+        self.apply_snapshot(2, 5, a=(3, b'1'), b=(4, b'1'))
         self.assertEqual(
             self.get_heard(),
             {
@@ -129,9 +129,9 @@
         )
 
     def test_second_restore_without_writes_in_between(self):
-        self.take_whole(1, 9, a=(3, b'1'), b=(9, b'2'))
-        self.take_whole(2, 5, a=(3, b'1'))
-        self.take_whole(3, 2)
+        self.apply_snapshot(1, 9, a=(3, b'1'), b=(9, b'2'))
+        self.apply_snapshot(2, 5, a=(3, b'1'))
+        self.apply_snapshot(3, 2)
         self.assertEqual(self.get_heard(), {'a': (None, RowOrigin.LOST)})
 
 
@@ -142,32 +142,32 @@
         return b'{"version": %d}' % version
 
     def test_higher_version_is_kept_until_a_higher_one_is_written(self):
-        self.take_whole(1, 9, config=(9, self.make_config(7)))
-        self.take_whole(2, 5, config=(4, self.make_config(5)))
+        self.apply_snapshot(1, 9, config=(9, self.make_config(7)))
+        self.apply_snapshot(2, 5, config=(4, self.make_config(5)))
         self.assertEqual(
             self.get_relayed_rows(), {'config': self.make_config(7)}
         )
-        self.take_changes(2, 6, config=(6, self.make_config(8)))
+        self.apply_changes(2, 6, config=(6, self.make_config(8)))
         self.assertEqual(
             self.get_relayed_rows(), {'config': self.make_config(8)}
         )
 
     def test_higher_restored_version_is_accepted(self):
-        self.take_whole(1, 9, config=(9, self.make_config(7)))
-        self.take_whole(2, 6, config=(6, self.make_config(8)))
+        self.apply_snapshot(1, 9, config=(9, self.make_config(7)))
+        self.apply_snapshot(2, 6, config=(6, self.make_config(8)))
         self.assertEqual(
             self.get_relayed_rows(), {'config': self.make_config(8)}
         )
 
     def test_missing_row_is_kept(self):
         named = b'{"model": "m", "version": 3}'
-        self.take_whole(1, 9, **{'version/m': (9, named)})
-        self.take_whole(2, 5)
+        self.apply_snapshot(1, 9, **{'version/m': (9, named)})
+        self.apply_snapshot(2, 5)
         self.assertEqual(self.get_relayed_rows(), {'version/m': named})
 
     def test_unreadable_restored_row_is_rejected(self):
-        self.take_whole(1, 9, config=(9, self.make_config(7)))
-        self.take_whole(2, 5, config=(4, b'{'))
+        self.apply_snapshot(1, 9, config=(9, self.make_config(7)))
+        self.apply_snapshot(2, 5, config=(4, b'{'))
         self.assertEqual(
             self.get_relayed_rows(), {'config': self.make_config(7)}
         )
@@ -182,49 +182,49 @@
         self.draining = encode(born=5, state='draining')
 
     def test_draining_is_kept_for_the_same_start(self):
-        self.take_whole(1, 9, p=(9, self.draining))
-        self.take_whole(2, 5, p=(4, self.ready))
+        self.apply_snapshot(1, 9, p=(9, self.draining))
+        self.apply_snapshot(2, 5, p=(4, self.ready))
         self.assertEqual(self.get_relayed_rows(), {'p': self.draining})
-        self.take_changes(2, 6, p=(6, self.ready))
+        self.apply_changes(2, 6, p=(6, self.ready))
         self.assertEqual(self.get_relayed_rows(), {'p': self.ready})
 
     def test_draining_is_not_kept_for_a_newer_start(self):
         newer = encode(born=6)
-        self.take_whole(1, 9, p=(9, self.draining))
-        self.take_whole(2, 12, p=(12, newer))
+        self.apply_snapshot(1, 9, p=(9, self.draining))
+        self.apply_snapshot(2, 12, p=(12, newer))
         self.assertEqual(self.get_relayed_rows(), {'p': newer})
 
     def test_removed_entry_is_accepted_when_written_again(self):
-        self.take_whole(1, 9, p=(3, self.ready))
-        self.take_changes(1, 10, p=(10, None))
-        self.take_whole(2, 5, p=(3, self.ready))
+        self.apply_snapshot(1, 9, p=(3, self.ready))
+        self.apply_changes(1, 10, p=(10, None))
+        self.apply_snapshot(2, 5, p=(3, self.ready))
         self.assertEqual(self.get_relayed_rows(), {})
-        self.take_changes(2, 6, p=(6, self.ready))
+        self.apply_changes(2, 6, p=(6, self.ready))
         self.assertEqual(self.get_relayed_rows(), {'p': self.ready})
 
     def test_removed_entry_that_does_not_lapse_is_accepted(self):
-        self.take_whole(1, 9, p=(3, self.ready))
-        self.take_changes(1, 10, p=(10, None))
-        self.take_whole(2, 5, p=(3, self.ready))
+        self.apply_snapshot(1, 9, p=(3, self.ready))
+        self.apply_changes(1, 10, p=(10, None))
+        self.apply_snapshot(2, 5, p=(3, self.ready))
         self.clock.advance(LAPSE_SECONDS)
-        self.take_changes(2, 6)
+        self.apply_changes(2, 6)
         self.assertEqual(self.get_relayed_rows(), {'p': self.ready})
         news = self.copy.list_since(build_version(2, 5)).changes
         self.assertEqual([row.key for row in news.rows], ['p'])
 
     def test_regression_entry_that_lapsed_when_it_was_accepted_stayed(self):
-        self.take_whole(1, 9, p=(3, self.ready))
-        self.take_changes(1, 10, p=(10, None))
-        self.take_whole(2, 5, p=(3, self.ready))
+        self.apply_snapshot(1, 9, p=(3, self.ready))
+        self.apply_changes(1, 10, p=(10, None))
+        self.apply_snapshot(2, 5, p=(3, self.ready))
         self.clock.advance(LAPSE_SECONDS)
-        self.take_changes(2, 8, p=(7, None))
+        self.apply_changes(2, 8, p=(7, None))
         self.assertEqual(self.get_relayed_rows(), {})
 
     def test_removed_entry_that_lapses_stays_removed(self):
-        self.take_whole(1, 9, p=(3, self.ready))
-        self.take_changes(1, 10, p=(10, None))
-        self.take_whole(2, 5, p=(3, self.ready))
-        self.take_changes(2, 6, p=(6, None))
+        self.apply_snapshot(1, 9, p=(3, self.ready))
+        self.apply_changes(1, 10, p=(10, None))
+        self.apply_snapshot(2, 5, p=(3, self.ready))
+        self.apply_changes(2, 6, p=(6, None))
         self.clock.advance(LAPSE_SECONDS)
-        self.take_changes(2, 7)
+        self.apply_changes(2, 7)
         self.assertEqual(self.get_relayed_rows(), {})
--- a/tests/cover/test_upstream_starts.py
+++ b/tests/cover/test_upstream_starts.py
@@ -135,7 +135,7 @@
         view = WeightsView(self.directory, self.clock)
         new = self.list_start(SECOND)
         plan = WeightsPlan('r', 'm', 5, [old.start], [old.start])
-        view.note(plan, 9)
+        view.apply_plan(plan, 9)
         self.assertEqual(new.weights, {'m': 1})
         self.assertEqual(new.busy_until, 0.0)
 
--- a/tests/cover/test_usage_caps.py
+++ b/tests/cover/test_usage_caps.py
@@ -74,7 +74,7 @@
             },
         ],
     }
-    catalogue = PlatformFormat().read_catalogue(
+    catalogue = PlatformFormat().decode_catalogue(
         'config', msgspec.json.encode(record)
     )
     sound = catalogue.keys['k2'].cap
--- a/tests/nocover/test_fleet_relay.py
+++ b/tests/nocover/test_fleet_relay.py
@@ -22,8 +22,8 @@
 from lifttrestle.internal.fleet.state.relay_follower import MIN_RELAYS
 from lifttrestle.internal.fleet.state.relay_follower import RANKING
 from lifttrestle.internal.fleet.state.relay_messages import encode_frame
-from lifttrestle.internal.fleet.state.relay_messages import Question
 from lifttrestle.internal.fleet.state.relay_messages import read_frame
+from lifttrestle.internal.fleet.state.relay_messages import SubscribeRequest
 from lifttrestle.internal.fleet.state.roster import FLEET_TABLE
 from lifttrestle.internal.routing.rendezvous import rank_names
 from tests.support.fleet import CONFIGURATION
@@ -201,7 +201,7 @@
             reader, writer = await asyncio.open_connection(
                 host, int(port), limit=1024
             )
-            writer.write(encode_frame(Question(0, {})))
+            writer.write(encode_frame(SubscribeRequest(0, {})))
             await wait_until(lambda: server.followers == before + 1)
             padding = 'x' * 200_000
             version = 10
