--- a/src/lifttrestle/internal/fleet/state/catalogue.py
+++ b/src/lifttrestle/internal/fleet/state/catalogue.py
@@ -10,10 +10,10 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""The operator's configuration in force, as one immutable whole.
+"""The operator's configuration in force, as one immutable object.
 
-A catalogue is built once from what the store holds and swapped as a whole, so
-that no request ever sees half of a change.
+A catalogue is built once from the stored configuration and replaced as a
+whole, so that no request sees part of a change.
 """
 
 import dataclasses
@@ -28,7 +28,7 @@
 
 
 class Repeat(enum.Enum):
-    """What a route allows to be done again with a request."""
+    """Whether the requests of a route may be executed more than once."""
 
     IDEMPOTENT = 'idempotent'
     ONCE = 'once'
@@ -40,7 +40,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class ServiceShare:
-    """A service that a route may use, and its weight among the others."""
+    """A service that a route may use, and its share of the requests."""
 
     service: str
     weight: float
@@ -48,17 +48,17 @@
 
 @dataclasses.dataclass(frozen=True)
 class Route:
-    """Where requests of one host and path prefix go, and within which bounds.
+    """Services and limits for the requests of one host and path prefix.
 
-    :ivar streams: answers are event streams.
-    :ivar resumable: a broken stream may go on at another upstream.
-    :ivar timeout_seconds: the longest time that a request is kept waiting.
+    :ivar streams: responses are event streams.
+    :ivar resumable: an interrupted stream may continue at another upstream.
+    :ivar timeout_seconds: the longest time that a request may wait.
     :ivar target_seconds: the latency objective.
     :ivar pause_seconds: the longest pause between the events of a stream
-        that is in time, or None.
+        that meets its objective, or None.
     :ivar priority: 0 is the highest.
-    :ivar max_attempts: upstreams on which one request may run.
-    :ivar open_access: served without a key.
+    :ivar max_attempts: the number of upstreams on which one request may run.
+    :ivar open_access: requests need no key.
     """
 
     name: str
@@ -83,13 +83,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class EngineFacts:
-    """What the operator says of the engines of a service.
+    """Configured properties of the engines of a service.
 
-    :ivar slots: requests that one engine runs at once.
-    :ivar memory_tokens: tokens that one engine's memory holds.
+    :ivar slots: requests that one engine runs concurrently.
+    :ivar memory_tokens: capacity of one engine's KV cache in tokens.
     :ivar models: names of the models that they serve.
-    :ivar token_bytes: of cached context a token, zero if not told.
-    :ivar link_megabits: that their links carry a second, zero if not told.
+    :ivar token_bytes: size of the KV cache per token, zero if unknown.
+    :ivar link_megabits: bandwidth of their links in Mbit/s, zero if unknown.
     """
 
     slots: int
@@ -101,9 +101,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class CacheStoreFacts:
-    """A store of KV cache that engines can read from and write to.
+    """A KV cache store that engines can read from and write to.
 
-    :ivar link_megabits: that its link carries a second, zero if not told.
+    :ivar memory_tokens: its capacity in tokens.
+    :ivar link_megabits: bandwidth of its link in Mbit/s, zero if unknown.
     """
 
     address: str
@@ -117,7 +118,7 @@
     """A group of upstreams that serve the same requests.
 
     :ivar max_connections: connections that one upstream accepts from all
-        routers together.
+        routers in total.
     """
 
     name: str
@@ -128,11 +129,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Workspace:
-    """Who sends requests.
+    """The tenant on whose behalf requests are sent.
 
-    :ivar priority: 0 is the highest, None where the route's applies.
-    :ivar isolated: shares no cached context with any other workspace.
-    :ivar cap: what it may use, None without a limit.
+    :ivar priority: 0 is the highest; None if the priority of the route
+        applies.
+    :ivar isolated: shares no cached prefix with any other workspace.
+    :ivar cap: its usage limit, None if unlimited.
     """
 
     name: str
@@ -142,13 +144,13 @@
 
     @functools.cached_property
     def digest(self) -> int:
-        """Return what stands for its name in messages."""
+        """Return the digest that identifies it in messages."""
         return build_digest(self.name)
 
 
 @dataclasses.dataclass(frozen=True)
 class CallerLimits:
-    """What one caller's connection may send, in bytes and seconds."""
+    """Limits for the connection of one caller, in bytes and seconds."""
 
     head_bytes: int
     body_bytes: int
@@ -160,9 +162,9 @@
 class Catalogue:
     """One version of the configuration.
 
-    :ivar routes: by host, the longest prefix first.
-    :ivar keys: the workspace of each key; None where no keys are asked for.
-    :ivar faults: why parts of it can't be used; the others hold.
+    :ivar routes: the routes of each host, the longest prefix first.
+    :ivar keys: the workspace of each key; None if no keys are required.
+    :ivar faults: why parts of it are invalid; the other parts apply.
     """
 
     version: int
@@ -174,7 +176,7 @@
 
     @functools.cached_property
     def caps(self) -> dict[int, UsageCap]:
-        """Return the caps by the digests of their workspaces."""
+        """Return the usage caps by the digests of their workspaces."""
         return {
             workspace.digest: workspace.cap
             for workspace in (self.keys or {}).values()
@@ -182,9 +184,9 @@
         }
 
     def includes(self, entry: UpstreamEntry) -> bool:
-        """Return whether an entry is one of a service's upstreams.
+        """Return whether an entry is a usable upstream of a service.
 
-        An engine that tells of no model is none that can be used.
+        An engine whose entry lists no model can't be used.
         """
         service = self.services.get(entry.service)
         if service is None:
@@ -199,9 +201,9 @@
         return None
 
     def get_fetch_seconds(self, service: str) -> float | None:
-        """Return what an engine takes to fetch a token, None if not told.
+        """Return the seconds to fetch the KV cache of one token.
 
-        A transfer takes as long as the slowest link on its way needs.
+        The slowest of the links determines it; None if one is unknown.
         """
         facts = self.services.get(service)
         engine = facts.engine if facts is not None else None
@@ -219,10 +221,10 @@
         return engine.token_bytes * BITS_PER_BYTE / (slowest * MEGA)
 
     def find_cache_store(self, part_id: str) -> CacheStoreFacts | None:
-        """Return the store that keeps a shared part, or None without any.
+        """Return the store for a shared part, None if there are no stores.
 
-        Each part has one of the stores, so that all of them together hold as
-        much, and pass as much, as they can.
+        Each part is assigned to one store by rendezvous hashing, so that the
+        capacities and the bandwidths of the stores add up.
         """
         stores = {
             service.name: service.cache_store
--- a/src/lifttrestle/internal/fleet/state/decoding.py
+++ b/src/lifttrestle/internal/fleet/state/decoding.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""How stored values become the fleet's own types."""
+"""Interface for decoding the values of the shared tables."""
 
 import abc
 
@@ -20,12 +20,13 @@
 
 
 class StoredFormat(abc.ABC):
-    """Names the shared tables and reads their values.
+    """Names the shared tables and decodes their values.
 
-    The readers raise ``ValueError`` for a value that they can't read.
+    The methods raise ``ValueError`` for an invalid value.
 
-    :cvar operator_table: holds the configuration and the named weights.
-    :cvar upstreams_table: holds the upstreams' entries by instance.
+    :cvar operator_table: holds the configuration and the target versions of
+        the models' weights.
+    :cvar upstreams_table: holds the entries of the upstreams by instance.
     """
 
     operator_table: str
@@ -33,14 +34,14 @@
 
     @abc.abstractmethod
     def decode_catalogue(self, key: str, value: bytes) -> Catalogue | None:
-        """Return the configuration, or None for a row that holds none."""
+        """Return the configuration, or None for another kind of row."""
 
     @abc.abstractmethod
     def decode_target_weights(
         self, key: str, value: bytes
     ) -> NamedWeights | None:
-        """Return the named weights, or None for a row that names none."""
+        """Return a model's target weights, None for another kind of row."""
 
     @abc.abstractmethod
     def decode_upstream(self, key: str, value: bytes) -> UpstreamEntry:
-        """Return an upstream's entry."""
+        """Return the entry of an upstream."""
--- a/src/lifttrestle/internal/fleet/state/operator_view.py
+++ b/src/lifttrestle/internal/fleet/state/operator_view.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""What the operator has put in force: the configuration and the weights."""
+"""The operator's configuration and the target versions of the weights."""
 
 import dataclasses
 
@@ -24,28 +24,29 @@
 LOG = get_event_log('view')
 
 
-# A router counts for the promise on weights from three seconds after its
-# start; versions that were named before it are taken as that much younger
-# than the promise allows.
-SETTLE_SECONDS = 3.0
-# Versions that are remembered: at one every two seconds, those of the last
-# hundred seconds, ten times as long as old weights may be used.
-MAX_REMEMBERED = 50
+# A router must meet the limit on the use of old weights from three seconds
+# after its start. Versions that were set before the start are assumed to be
+# that much younger than the limit allows.
+START_GRACE_SECONDS = 3.0
+# Versions that are kept of each model: at one every two seconds, those of
+# the last hundred seconds, ten times as long as old weights may be used.
+MAX_TARGET_VERSIONS = 50
 
 
 @dataclasses.dataclass(frozen=True)
 class TargetWeightsHistory:
-    """The versions of a model's weights that were named.
+    """The target versions of a model's weights.
 
-    :ivar version: the newest.
-    :ivar seen_at: when each version was first seen, the oldest first.
+    :ivar version: the newest one.
+    :ivar seen_at: each version with the monotonic time at which it was first
+        seen, the oldest first.
     """
 
     version: int
     seen_at: tuple[tuple[int, float], ...]
 
     def find_replaced_at(self, held: int) -> float | None:
-        """Return when weights ``held`` were replaced, None if never."""
+        """Return when version ``held`` was replaced, None if never."""
         for version, seen_at in self.seen_at:
             if version > held:
                 return seen_at
@@ -53,10 +54,12 @@
 
 
 class OperatorView:
-    """Swaps whole versions; an older one never replaces a newer one.
+    """Holds the operator's newest settings.
 
-    :param weights_seconds: how long weights may be used after newer ones
-        were named.
+    A version is replaced as a whole, and never by an older one.
+
+    :param weights_seconds: how long weights may be used after a newer target
+        version was set.
     """
 
     def __init__(
@@ -74,22 +77,22 @@
         self.target_weights: dict[str, TargetWeightsHistory] = {}
 
     def apply_row(self, row: VersionedRow) -> None:
-        """Take in a changed row of the operator's table."""
+        """Apply a changed row of the operator's table."""
         if row.value is None:
             LOG.warning('view.row_removed_and_kept', key=row.key)
             return
         try:
             catalogue = self._format.decode_catalogue(row.key, row.value)
-            named = self._format.decode_target_weights(row.key, row.value)
+            target = self._format.decode_target_weights(row.key, row.value)
         except ValueError as error:
             self._refusals.note('operator', row.key, error)
             return
         if catalogue is not None:
-            self._swap(catalogue)
-        if named is not None:
-            self._want(named.model, named.version)
+            self._replace_catalogue(catalogue)
+        if target is not None:
+            self._add_target(target.model, target.version)
 
-    def _swap(self, catalogue: Catalogue) -> None:
+    def _replace_catalogue(self, catalogue: Catalogue) -> None:
         held = self.catalogue
         if held is not None and held.version >= catalogue.version:
             LOG.warning(
@@ -103,16 +106,16 @@
             self._refusals.note('operator', 'configuration', fault)
         LOG.info('view.applied', version=catalogue.version)
 
-    def _want(self, model: str, version: int) -> None:
+    def _add_target(self, model: str, version: int) -> None:
         held = self.target_weights.get(model)
         if held is not None and held.version >= version:
             return
         now = self._clock.monotonic()
         if held is None:
-            # Nobody knows how long ago it was named.
-            now -= max(self._weights_seconds - SETTLE_SECONDS, 0.0)
+            # It is not known when the version was set.
+            now -= max(self._weights_seconds - START_GRACE_SECONDS, 0.0)
         earlier = held.seen_at if held is not None else ()
         self.target_weights[model] = TargetWeightsHistory(
-            version, (*earlier, (version, now))[-MAX_REMEMBERED:]
+            version, (*earlier, (version, now))[-MAX_TARGET_VERSIONS:]
         )
         LOG.info('weights.named', model=model, version=version)
--- a/src/lifttrestle/internal/fleet/state/relay_follower.py
+++ b/src/lifttrestle/internal/fleet/state/relay_follower.py
@@ -10,11 +10,12 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Learns of the shared tables from other routers, so that few read the store.
+"""Follows the shared tables through other routers, so that few read the store.
 
-A few routers, by rendezvous among those of the roster, read the store; the
-others ask two of them each. When none of the two has told anything new for a
-while, a router reads the store itself until one does again.
+A few routers, the relays, read the store. They are selected among those of
+the roster by rendezvous hashing. Each other router follows two of them. If
+neither confirms that the tables are current for some time, the router reads
+the store itself until one does again.
 """
 
 import asyncio
@@ -25,9 +26,9 @@
 from lifttrestle.internal.clock.beat import Beat
 from lifttrestle.internal.clock.clock import Clock
 from lifttrestle.internal.fleet.state.relay_messages import encode_frame
-from lifttrestle.internal.fleet.state.relay_messages import MAX_NEWS_BYTES
+from lifttrestle.internal.fleet.state.relay_messages import MAX_UPDATE_BYTES
 from lifttrestle.internal.fleet.state.relay_messages import read_frame
-from lifttrestle.internal.fleet.state.relay_messages import read_news
+from lifttrestle.internal.fleet.state.relay_messages import read_update
 from lifttrestle.internal.fleet.state.relay_messages import SubscribeRequest
 from lifttrestle.internal.fleet.state.relay_messages import TableUpdate
 from lifttrestle.internal.fleet.state.roster import Roster
@@ -40,79 +41,83 @@
 from lifttrestle.internal.telemetry.event_log import get_event_log
 
 LOG = get_event_log('relay')
-RANKING = b'relays'
-# Routers that read the store: two at least, so that one may be lost, and one
-# for this many others. Some 30 then ask each of them: a configuration of
-# 40 KiB, twice the largest known, passes a link of 5 Mbit/s to all of them
-# within two seconds.
+RELAY_RANKING_KEY = b'relays'
+# There is one relay for this many routers, and at least two, so that one may
+# fail. Each then has some 30 followers: a configuration of 40 KiB, twice the
+# largest known, reaches all of them over a link of 5 Mbit/s within two
+# seconds.
 ROUTERS_PER_RELAY = 15
 MIN_RELAYS = 2
-# A router asks this many.
-ASKED_RELAYS = 2
-# Relays prove the operator's table every 0.7 s; without a proof for this
-# long they are taken for lost. A change must be in force within 2 s.
+# The number of relays that a router follows.
+RELAYS_PER_FOLLOWER = 2
+# Relays confirm the operator's table every 0.7 s. Without a confirmation for
+# this long they are considered failed. A change must be in force within 2 s.
 SILENT_SECONDS = 1.1
-LOOK_SECONDS = 0.2
-# A router that starts asks others for the tables, and reads them itself when
-# it was told nothing for this long. With a read of each table and a first
-# watch by each, 195 routers made 3,434 calls to the store at their start.
-START_SECONDS = 0.5
-START_LOOK_SECONDS = 0.02
+POLL_SECONDS = 0.2
+# A starting router requests the tables from relays, and reads them itself if
+# it receives nothing for this long. When each router read each table and sent
+# a first watch, 195 routers made 3,434 calls to the store at their start.
+START_TIMEOUT_SECONDS = 0.5
+START_POLL_SECONDS = 0.02
 CONNECT_SECONDS = 0.3
-# A relay that was lost is asked again after this time.
+# A relay whose connection failed is tried again after this time.
 AVOID_SECONDS = 2.0
-# Questions are asked anew, so that the two clocks' speeds do not add up.
+# The request is repeated at this interval to bound the error that the drift
+# between the two routers' clocks accumulates.
 RENEW_SECONDS = 30.0
 
 
 class RelayFollower:
-    """Keeps this router's tables current through others, where it can.
+    """Keeps this router's tables current through relays where possible.
 
-    :param watches: the first is the one whose proofs count.
+    :param watches: the watches of all tables. Only updates that confirm the
+        first one show that a relay works.
     """
 
     def __init__(
         self, watches: list[TableWatch], roster: Roster, clock: Clock
     ) -> None:
         self._watches = {watch.table: watch for watch in watches}
-        self._leading = watches[0]
+        self._primary_watch = watches[0]
         self._roster = roster
         self._clock = clock
-        self._asking: dict[str, asyncio.Task[None]] = {}
+        self._connections: dict[str, asyncio.Task[None]] = {}
         self._avoided_until: dict[str, float] = {}
-        self._told_at = -math.inf
-        # The routers that were ranked last, and the relays among them.
+        self._last_confirmed_at = -math.inf
+        # The last ranked list of routers, and the relays among them.
         self._ranked: list[str] = []
         self._relays: list[str] = []
-        self._directly = True
+        self._reads_directly = True
 
     async def run(self, beat: Beat) -> None:
-        """Ask other routers, or see to it that the store is read."""
-        began = self._clock.monotonic()
-        self._told_at = began - SILENT_SECONDS + START_SECONDS
+        """Follow relays, and read the store directly while none works."""
+        started_at = self._clock.monotonic()
+        self._last_confirmed_at = (
+            started_at - SILENT_SECONDS + START_TIMEOUT_SECONDS
+        )
         try:
             while True:
-                self._ask_relays()
+                self._update_connections()
                 self._choose_source()
-                await beat.wait(self._get_pause(began))
+                await beat.wait(self._get_pause(started_at))
         finally:
-            for task in self._asking.values():
+            for task in self._connections.values():
                 task.cancel()
             await asyncio.gather(
-                *self._asking.values(), return_exceptions=True
+                *self._connections.values(), return_exceptions=True
             )
 
-    def _get_pause(self, began: float) -> float:
-        """Return the time until the next look: short while it starts."""
-        since = self._clock.monotonic() - began
-        if self._leading.copy.loaded or since > START_SECONDS:
-            return LOOK_SECONDS
-        return START_LOOK_SECONDS
+    def _get_pause(self, started_at: float) -> float:
+        """Return the polling interval, which is shorter during the start."""
+        since = self._clock.monotonic() - started_at
+        if self._primary_watch.copy.loaded or since > START_TIMEOUT_SECONDS:
+            return POLL_SECONDS
+        return START_POLL_SECONDS
 
     @property
     def reads_store(self) -> bool:
         """Return whether this router reads the store itself."""
-        return self._directly
+        return self._reads_directly
 
     def is_relay(self) -> bool:
         """Return whether this router is one of those that read the store."""
@@ -121,26 +126,28 @@
     def _list_relays(self) -> list[str]:
         routers = self._roster.routers
         if routers != self._ranked:
-            # Ranking hashes every name, and this is asked many times a second.
+            # Ranking hashes every name, and this runs many times a second.
             self._ranked = routers
             count = math.ceil(len(routers) / ROUTERS_PER_RELAY)
-            ranked = rank_names(RANKING, routers)
+            ranked = rank_names(RELAY_RANKING_KEY, routers)
             self._relays = ranked[: max(MIN_RELAYS, count)]
         return self._relays
 
-    def _ask_relays(self) -> None:
-        wanted = self._choose_relays()
-        for key, task in list(self._asking.items()):
+    def _update_connections(self) -> None:
+        chosen = self._choose_relays()
+        for key, task in list(self._connections.items()):
             if task.done():
-                del self._asking[key]
-            elif key not in wanted:
+                del self._connections[key]
+            elif key not in chosen:
                 task.cancel()
-        for key in wanted:
-            if key not in self._asking:
-                self._asking[key] = asyncio.create_task(self._ask(key))
+        for key in chosen:
+            if key not in self._connections:
+                self._connections[key] = asyncio.create_task(
+                    self._run_connection(key)
+                )
 
     def _choose_relays(self) -> list[str]:
-        """Return whom to ask: one nearby, then one elsewhere."""
+        """Return the relays to follow: one in this data centre, one not."""
         if not self._roster.loaded or self.is_relay():
             return []
         now = self._clock.monotonic()
@@ -153,13 +160,13 @@
         own = self._roster.data_centre
         digest = self._roster.key.encode()[:64]
         ranked = rank_names(digest, relays)
-        near = [
+        local = [
             key for key in ranked if self._roster.get_data_centre(key) == own
         ]
-        far = [key for key in ranked if key not in near]
-        return (near[:1] + far + near[1:])[:ASKED_RELAYS]
+        remote = [key for key in ranked if key not in local]
+        return (local[:1] + remote + local[1:])[:RELAYS_PER_FOLLOWER]
 
-    async def _ask(self, key: str) -> None:
+    async def _run_connection(self, key: str) -> None:
         try:
             await self._follow(key)
         except (
@@ -182,17 +189,19 @@
         bound_silence(writer.transport)
         LOG.info('relay.asked', router=key)
         try:
-            asked_at = [self._question(writer, 0)]
+            sent_at = [self._send_request(writer, 0)]
             while True:
-                data = await read_frame(reader, MAX_NEWS_BYTES)
-                self._take(decode_msgpack(data, TableUpdate), asked_at)
-                if self._clock.monotonic() - asked_at[-1] > RENEW_SECONDS:
-                    asked_at.append(self._question(writer, len(asked_at)))
+                data = await read_frame(reader, MAX_UPDATE_BYTES)
+                self._apply_update(decode_msgpack(data, TableUpdate), sent_at)
+                if self._clock.monotonic() - sent_at[-1] > RENEW_SECONDS:
+                    sent_at.append(self._send_request(writer, len(sent_at)))
         finally:
             writer.transport.abort()
 
-    def _question(self, writer: asyncio.StreamWriter, number: int) -> float:
-        """Ask for all news from now on; return when that was."""
+    def _send_request(
+        self, writer: asyncio.StreamWriter, number: int
+    ) -> float:
+        """Request all updates from now on; return when it was sent."""
         versions = {
             table: watch.copy.version
             for table, watch in self._watches.items()
@@ -202,37 +211,44 @@
         writer.write(encode_frame(SubscribeRequest(number, versions)))
         return now
 
-    def _take(self, message: TableUpdate, asked_at: list[float]) -> None:
-        """Believe a proof, counted from when the question was sent.
+    def _apply_update(
+        self, message: TableUpdate, sent_at: list[float]
+    ) -> None:
+        """Apply an update.
+
+        Its time is relative to the time at which the request was sent.
 
-        :raises InputRefused: if it proves what is not yet.
+        :raises InputRefused: if it claims to be current as of a future time.
         """
         watch = self._watches.get(message.table)
-        if watch is None or not 0 <= message.question < len(asked_at):
+        if watch is None or not 0 <= message.request < len(sent_at):
             LOG.warning('relay.unexpected', table=message.table)
             return
-        current_as_of = asked_at[message.question] + message.proved_after
+        current_as_of = sent_at[message.request] + message.as_of_offset
         if not current_as_of <= self._clock.monotonic():
-            # Keys that are taken away would work for as long as it says.
+            # Revoked keys would be accepted until that time.
             raise InputRefused(
                 InputFault.FIELD,
-                f'a proof as of {message.proved_after} s after the question'
-                ' is not over yet',
+                f'an update as of {message.as_of_offset} s after the request'
+                ' is in the future',
             )
         previous_proved_at = watch.current_as_of
-        watch.take_relayed(
-            read_news(message), current_as_of, message.after_outage
+        watch.apply_relayed(
+            read_update(message), current_as_of, message.after_outage
         )
-        # News that proves nothing must not delay reading the store directly.
-        if watch is self._leading and watch.current_as_of > previous_proved_at:
-            self._told_at = self._clock.monotonic()
+        # An update that confirms nothing must not delay reading the store.
+        if (
+            watch is self._primary_watch
+            and watch.current_as_of > previous_proved_at
+        ):
+            self._last_confirmed_at = self._clock.monotonic()
 
     def _choose_source(self) -> None:
         now = self._clock.monotonic()
-        silent = now - self._told_at > SILENT_SECONDS
+        silent = now - self._last_confirmed_at > SILENT_SECONDS
         directly = silent or (self._roster.loaded and self.is_relay())
         for watch in self._watches.values():
             watch.set_direct_reads(directly)
-        if directly is not self._directly:
-            self._directly = directly
+        if directly is not self._reads_directly:
+            self._reads_directly = directly
             LOG.info('relay.source', store=directly)
--- a/src/lifttrestle/internal/fleet/state/relay_messages.py
+++ b/src/lifttrestle/internal/fleet/state/relay_messages.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""What routers tell each other of the shared tables, and how it is framed."""
+"""Messages by which routers relay the shared tables, and their framing."""
 
 import asyncio
 
@@ -21,17 +21,17 @@
 from lifttrestle.internal.fleet.state.table_copy import CopyUpdate
 
 LENGTH_BYTES = 4
-# Several times what a whole table holds: rows are at most 64 KiB.
-MAX_NEWS_BYTES = 16 * 1024 * 1024
-# A question holds a number for each of a few tables.
-MAX_QUESTION_BYTES = 4 * 1024
+# Several times the size of a whole table, whose rows are at most 64 KiB.
+MAX_UPDATE_BYTES = 16 * 1024 * 1024
+# A request holds a version for each of a few tables.
+MAX_REQUEST_BYTES = 4 * 1024
 
 
 class SubscribeRequest(msgspec.Struct, frozen=True, array_like=True):
-    """Asks for all news of the tables from now on.
+    """Requests all updates of the tables from now on.
 
-    :ivar number: of the question; news are told to answer one.
-    :ivar versions: the newest version held of each table.
+    :ivar number: identifies the request in the updates that it causes.
+    :ivar versions: the newest version that the sender holds of each table.
     """
 
     number: int
@@ -39,7 +39,7 @@
 
 
 class RelayedRow(msgspec.Struct, frozen=True, array_like=True):
-    """A row, without a value if it was removed."""
+    """A row; its value is None if it was removed."""
 
     key: str
     value: bytes | None
@@ -47,64 +47,67 @@
 
 
 class TableUpdate(msgspec.Struct, frozen=True, array_like=True):
-    """A proof, and what changed since the last one on this connection.
-
-    :ivar question: the question that it answers.
-    :ivar proved_after: seconds from the question's arrival to the moment as
-        of which the table is proved to be as told; negative if that was
-        before. The asker counts it from when it *sent* the question, which
-        was no later: so it never believes too much.
-    :ivar after_outage: the store was away before this was read.
-    :ivar whole: all rows are told; others are gone.
+    """The changes since the last update on this connection.
+
+    It is sent without rows, too, as it confirms that the table is current.
+
+    :ivar request: the number of the request that it answers.
+    :ivar as_of_offset: seconds from the arrival of the request to the time
+        as of which the table is current; negative if that was earlier. The
+        receiver adds it to the time at which it *sent* the request, which is
+        not later than the arrival, so it never assumes a later time.
+    :ivar after_outage: the store was unavailable before this was read.
+    :ivar is_snapshot: ``rows`` holds all rows of the table; others do not
+        exist.
     """
 
-    question: int
+    request: int
     table: str
     version: int
-    proved_after: float
+    as_of_offset: float
     after_outage: bool
-    whole: bool
+    is_snapshot: bool
     rows: list[RelayedRow]
 
 
-def build_news(
-    question: int,
+def build_update(
+    request: int,
     table: str,
-    news: CopyUpdate,
-    proved_after: float,
+    update: CopyUpdate,
+    as_of_offset: float,
     after_outage: bool,
 ) -> TableUpdate:
-    """Return the message that tells ``news``."""
+    """Return the message that carries ``update``."""
     return TableUpdate(
-        question,
+        request,
         table,
-        news.changes.version,
-        proved_after,
+        update.changes.version,
+        as_of_offset,
         after_outage,
-        news.whole,
+        update.is_snapshot,
         [
             RelayedRow(row.key, row.value, row.version)
-            for row in news.changes.rows
+            for row in update.changes.rows
         ],
     )
 
 
-def read_news(message: TableUpdate) -> CopyUpdate:
-    """Return what a message tells."""
+def read_update(message: TableUpdate) -> CopyUpdate:
+    """Return the update that a message carries."""
     rows = tuple(
         VersionedRow(row.key, row.value, row.version) for row in message.rows
     )
-    return CopyUpdate(RowChanges(rows, message.version), message.whole)
+    return CopyUpdate(RowChanges(rows, message.version), message.is_snapshot)
 
 
 def encode_frame(message: msgspec.Struct) -> bytes:
-    """Return a message with its length before it."""
+    """Return an encoded message, prefixed with its length."""
     body = msgspec.msgpack.encode(message)
     return len(body).to_bytes(LENGTH_BYTES, 'big') + body
 
 
 async def read_frame(reader: asyncio.StreamReader, limit: int) -> bytes:
-    """Return the next message's bytes, at most ``limit``.
+    """Return the bytes of the next message, at most ``limit``.
 
     :raises OSError: if the connection ended, or the frame is too long.
     """
@@ -112,7 +115,9 @@
         head = await reader.readexactly(LENGTH_BYTES)
         size = int.from_bytes(head, 'big')
         if size > limit:
-            raise OSError(f'a frame of {size} bytes; {limit} are allowed')
+            raise OSError(
+                f'frame of {size} bytes exceeds the limit of {limit}'
+            )
         return await reader.readexactly(size)
     except asyncio.IncompleteReadError as error:
         raise OSError('the connection ended') from error
--- a/src/lifttrestle/internal/fleet/state/relay_server.py
+++ b/src/lifttrestle/internal/fleet/state/relay_server.py
@@ -10,16 +10,16 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Passes what this router knows of the shared tables on to other routers."""
+"""Relays this router's copies of the shared tables to other routers."""
 
 import asyncio
 import dataclasses
 
 from lifttrestle.errors import InputRefused
 from lifttrestle.internal.clock.clock import Clock
-from lifttrestle.internal.fleet.state.relay_messages import build_news
+from lifttrestle.internal.fleet.state.relay_messages import build_update
 from lifttrestle.internal.fleet.state.relay_messages import encode_frame
-from lifttrestle.internal.fleet.state.relay_messages import MAX_QUESTION_BYTES
+from lifttrestle.internal.fleet.state.relay_messages import MAX_REQUEST_BYTES
 from lifttrestle.internal.fleet.state.relay_messages import read_frame
 from lifttrestle.internal.fleet.state.relay_messages import SubscribeRequest
 from lifttrestle.internal.fleet.state.table_watch import TableWatch
@@ -30,30 +30,30 @@
 from lifttrestle.internal.telemetry.event_log import get_event_log
 
 LOG = get_event_log('relay')
-# A follower that leaves more than this unread is cut off; it asks anew. All
-# tables of the known deployments together are a fifth of that.
+# A follower with more unread bytes than this is disconnected and connects
+# again. All tables of the known deployments together are a fifth of that.
 MAX_UNREAD_BYTES = 512 * 1024
-# Followers of one router: some 30, more while relays are gone.
+# A relay has some 30 followers, more while other relays are unavailable.
 MAX_FOLLOWERS = 100
 
 
 @dataclasses.dataclass(eq=False)
 class Follower:
-    """A router that wants to be told.
+    """A connected router that receives updates.
 
-    :ivar question: its last one, or None before the first.
-    :ivar asked_at: when that arrived, by this router's clock.
-    :ivar versions: what it has of each table.
+    :ivar request: its last request, or None before the first.
+    :ivar requested_at: when that arrived, by this router's clock.
+    :ivar versions: the newest version of each table that it has or was sent.
     """
 
     writer: asyncio.StreamWriter
-    question: SubscribeRequest | None = None
-    asked_at: float = 0.0
+    request: SubscribeRequest | None = None
+    requested_at: float = 0.0
     versions: dict[str, int] = dataclasses.field(default_factory=dict)
 
 
 class RelayServer:
-    """Tells followers each proof and each change as it becomes known."""
+    """Sends an update to each follower after each read of a table."""
 
     def __init__(self, watches: list[TableWatch], clock: Clock) -> None:
         self._watches = {watch.table: watch for watch in watches}
@@ -62,15 +62,15 @@
         self._tasks = ConnectionTasks()
         self._server: asyncio.Server | None = None
         for watch in watches:
-            watch.tell(self._tell_all)
+            watch.add_observer(self._send_to_all)
 
     @property
     def followers(self) -> int:
-        """Return how many routers are told."""
+        """Return the number of connected followers."""
         return len(self._followers)
 
     async def start(self, address: Address) -> Address:
-        """Listen at an address and return the one in force."""
+        """Listen at an address and return the bound one."""
         self._server = await asyncio.start_server(
             self._accept, address.host, address.port
         )
@@ -78,7 +78,7 @@
         return Address(host, port)
 
     async def close(self) -> None:
-        """Stop listening and cut every follower off."""
+        """Stop listening and disconnect every follower."""
         if self._server is not None:
             self._server.close()
         await self._tasks.end()
@@ -99,28 +99,28 @@
         self._followers.add(follower)
         try:
             while True:
-                data = await read_frame(reader, MAX_QUESTION_BYTES)
-                self._take_question(follower, data)
+                data = await read_frame(reader, MAX_REQUEST_BYTES)
+                self._handle_request(follower, data)
         except (OSError, InputRefused) as error:
             LOG.info('relay.follower_left', reason=str(error))
         finally:
             self._followers.discard(follower)
             writer.transport.abort()
 
-    def _take_question(self, follower: Follower, data: bytes) -> None:
-        question = decode_msgpack(data, SubscribeRequest)
-        follower.asked_at = self._clock.monotonic()
-        follower.question = question
-        follower.versions = dict(question.versions)
+    def _handle_request(self, follower: Follower, data: bytes) -> None:
+        request = decode_msgpack(data, SubscribeRequest)
+        follower.requested_at = self._clock.monotonic()
+        follower.request = request
+        follower.versions = dict(request.versions)
         for watch in self._watches.values():
-            self._tell(follower, watch)
+            self._send_update(follower, watch)
 
-    def _tell_all(self, watch: TableWatch) -> None:
+    def _send_to_all(self, watch: TableWatch) -> None:
         for follower in list(self._followers):
-            self._tell(follower, watch)
+            self._send_update(follower, watch)
 
-    def _tell(self, follower: Follower, watch: TableWatch) -> None:
-        if follower.question is None or not watch.copy.loaded:
+    def _send_update(self, follower: Follower, watch: TableWatch) -> None:
+        if follower.request is None or not watch.copy.loaded:
             return
         transport = follower.writer.transport
         if transport.get_write_buffer_size() > MAX_UNREAD_BYTES:
@@ -128,12 +128,12 @@
             transport.abort()
             return
         table = watch.table
-        news = watch.copy.list_since(follower.versions.get(table, 0))
-        message = build_news(
-            follower.question.number,
+        update = watch.copy.list_since(follower.versions.get(table, 0))
+        message = build_update(
+            follower.request.number,
             table,
-            news,
-            watch.current_as_of - follower.asked_at,
+            update,
+            watch.current_as_of - follower.requested_at,
             watch.lost,
         )
         follower.versions[table] = max(
--- a/src/lifttrestle/internal/fleet/state/restore_policy.py
+++ b/src/lifttrestle/internal/fleet/state/restore_policy.py
@@ -12,12 +12,12 @@
 
 """Which held rows stay in force when the store is restored from an older copy.
 
-The copy lacks the writes and removals of the last seconds. Their writers
-repeat them, and until then:
+The restored copy lacks the writes and removals of the last seconds. Their
+writers repeat them, and until then:
 
 | row | in force | until |
 | --- | --- | --- |
-| configuration, named weights | the highest known version | a higher one |
+| configuration, target weights | the highest known version | a higher one |
 | upstream entry, draining | draining, for the same start | written again |
 | upstream entry, removed | not used | written again, or a timeout |
 | any other row | the restored row | |
@@ -33,7 +33,7 @@
     """Decides which held rows take precedence over a restored store.
 
     :ivar withhold_seconds: for how long a removed row that the restored store
-        has again is withheld, unless it is written again; zero to accept it
+        contains is withheld, unless it is written again; zero to accept it
         immediately.
     """
 
@@ -64,7 +64,7 @@
     def keeps(self, held: VersionedRow, restored: VersionedRow | None) -> bool:
         """Return whether the held row has the higher version or the only one.
 
-        A held row whose version is unreadable yields to a restored row.
+        A restored row replaces a held row whose version is unreadable.
         """
         if restored is None:
             return True
@@ -80,18 +80,18 @@
             catalogue = self._format.decode_catalogue(row.key, row.value)
             if catalogue is not None:
                 return catalogue.version
-            named = self._format.decode_target_weights(row.key, row.value)
+            target = self._format.decode_target_weights(row.key, row.value)
         except ValueError:
             # The table's listener reports invalid rows.
             return None
-        return named.version if named is not None else None
+        return target.version if target is not None else None
 
 
 class UpstreamPolicy(RestorePolicy):
-    """Keeps draining and removed upstreams from getting new requests.
+    """Prevents new requests to draining and removed upstreams.
 
-    :param expiry_seconds: the time within which the store drops the entry of
-        an upstream that has stopped.
+    :param expiry_seconds: the time within which the store removes the entry
+        of an upstream that has stopped.
     """
 
     def __init__(
--- a/src/lifttrestle/internal/fleet/state/rows.py
+++ b/src/lifttrestle/internal/fleet/state/rows.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""The versioned tables that all routers share, as the fleet code sees them."""
+"""Interface of the versioned tables that all routers share."""
 
 import abc
 import dataclasses
@@ -23,7 +23,7 @@
 
 
 class RowOrigin(enum.Enum):
-    """Why a table's listener is called with a row."""
+    """Why a listener of a table is called with a row."""
 
     # The row was written or removed.
     WRITTEN = enum.auto()
@@ -53,9 +53,9 @@
 
 @dataclasses.dataclass(frozen=True)
 class RowChanges:
-    """Rows as of one moment, or the changes up to it.
+    """All rows of a table as of one commit, or the changes up to it.
 
-    :ivar version: the newest commit that the answer takes into account.
+    :ivar version: the newest commit that the rows include.
     """
 
     rows: tuple[VersionedRow, ...]
@@ -64,7 +64,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class RowWrite:
-    """Sets one row if it still has the expected version.
+    """A conditional write: sets one row if it has the expected version.
 
     :ivar value: the new bytes, or None to remove the row.
     :ivar epoch: the only epoch in which the write is valid. If None, it is
@@ -89,8 +89,8 @@
 class RowStore(abc.ABC):
     """Reads, watches and conditionally writes rows.
 
-    Each method raises ``PlatformUnavailable`` when there is no usable
-    answer; a write may then have taken effect, or do so later.
+    Each method raises ``PlatformUnavailable`` if it gets no valid response.
+    A write that raises it may have taken effect, or may still do so later.
 
     :ivar epoch: the epoch that the store reported last, or zero if it has
         reported none. The store increases it when it is restored from an
@@ -107,7 +107,9 @@
     async def watch_table(
         self, table: str, after: int, wait_seconds: float
     ) -> RowChanges:
-        """Return the changes since commit ``after``, waiting for the first.
+        """Return the changes since commit ``after``.
+
+        If there are none, wait for the first for up to ``wait_seconds``.
 
         :raises HistoryGone: if the store no longer holds those changes.
         """
--- a/src/lifttrestle/internal/fleet/state/table_copy.py
+++ b/src/lifttrestle/internal/fleet/state/table_copy.py
@@ -10,10 +10,10 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""What a router holds of one shared table, and what it can prove of it.
+"""Local copy of one shared table, with the time as of which it is current.
 
-The rows come from the store or from another router. What is held is known to
-be current as of a moment: any later change may be missing.
+The rows come from the store or from another router. The copy includes every
+change up to the time as of which it is current; later ones may be missing.
 """
 
 import collections
@@ -32,12 +32,13 @@
 from lifttrestle.internal.fleet.state.rows import RowOrigin
 from lifttrestle.internal.fleet.state.rows import VersionedRow
 
-# Changes that are kept for others who have seen all but the newest.
+# Changes that are kept so that followers with an older version get these
+# instead of the whole table.
 MAX_CHANGES = 500
-# How long removals are remembered: several times the maximum age of the copy
-# that a store is restored from.
-KEEP_REMOVED_SECONDS = 60.0
-# Proved at no time yet.
+# How long removals are kept: several times the maximum age of the copy that
+# a store is restored from.
+REMOVAL_TTL_SECONDS = 60.0
+# Not known to be current as of any time.
 NEVER = float('-inf')
 
 RowListener = Callable[[VersionedRow], None]
@@ -45,18 +46,19 @@
 
 @dataclasses.dataclass(frozen=True)
 class CopyUpdate:
-    """What changed in a copy since some version, or all of it.
+    """The changes of a copy since some version, or all of its rows.
 
-    :ivar whole: ``changes`` holds every row; others are gone.
+    :ivar is_snapshot: ``changes`` holds every row of the table; others do
+        not exist.
     """
 
     changes: RowChanges
-    whole: bool
+    is_snapshot: bool
 
 
 @dataclasses.dataclass(frozen=True)
 class RemovedRow:
-    """A removal that is remembered in case the store is restored.
+    """A removal that is kept in case the store is restored.
 
     :ivar commit_number: the commit number of the row's last version.
     """
@@ -67,7 +69,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class WithheldRow:
-    """A removed row that a restored store has again; not yet accepted.
+    """A removed row that a restored store contains, not yet accepted.
 
     :ivar until: the monotonic time from which the row is accepted.
     """
@@ -77,11 +79,15 @@
 
 
 class TableCopy:
-    """Holds the rows of a table and tells each change to a listener.
+    """Holds the rows of a table and calls a listener for each change.
 
     :param listener: is called with each row that is new, changed or removed.
     :param policy: decides which held rows are kept when the store is
         restored from an older copy; by default none.
+    :ivar loaded: whether the copy has received all rows once.
+    :ivar version: the newest commit that the copy includes.
+    :ivar current_as_of: the monotonic time up to which the copy is known to
+        include all changes.
     """
 
     def __init__(
@@ -100,21 +106,21 @@
         self._policy = policy or AcceptAllPolicy()
         self._rows: dict[str, VersionedRow] = {}
         self._changes: collections.deque[VersionedRow] = collections.deque()
-        # All changes after this version are among those kept.
+        # ``_changes`` holds all changes after this version.
         self._changes_from = NO_ROW
         self._removed: dict[str, RemovedRow] = {}
         self._withheld: dict[str, WithheldRow] = {}
 
     def get_age(self) -> float:
-        """Return for how many seconds nothing has proved what is held."""
+        """Return the seconds since the copy was last known to be current."""
         return self._clock.monotonic() - self.current_as_of
 
     def apply_snapshot(
         self, snapshot: RowChanges, current_as_of: float
     ) -> None:
-        """Take in all rows of the table.
+        """Replace the copy with all rows of the table.
 
-        :raises PlatformUnavailable: if they are older than what is held.
+        :raises PlatformUnavailable: if the snapshot is older than the copy.
         """
         if snapshot.version < self.version:
             raise PlatformUnavailable(
@@ -130,7 +136,8 @@
             )
         self.loaded = True
         self.apply_changes(RowChanges(rows, snapshot.version), current_as_of)
-        # What was removed in between and was never here is not known.
+        # The removals of rows that this copy never held are not known, so
+        # earlier changes can't be sent to a follower.
         self._changes.clear()
         self._changes_from = self.version
 
@@ -149,7 +156,7 @@
     ) -> tuple[VersionedRow, ...]:
         """Return the rows in force after a restore, including kept ones.
 
-        Removed rows that the restored store has again may be withheld.
+        Removed rows that the restored store contains may be withheld.
         """
         self._withheld.clear()
         rows = []
@@ -174,7 +181,7 @@
         removed = self._removed.get(row.key)
         if (
             removed is None
-            # A higher commit number: written after the store was restored.
+            # A higher commit number was written after the restore.
             or get_commit_number(row.version) > removed.commit_number
         ):
             return dataclasses.replace(row, origin=RowOrigin.RESTORED)
@@ -186,17 +193,19 @@
         return None
 
     def apply_changes(self, changes: RowChanges, current_as_of: float) -> None:
-        """Take in what changed, from the version that is held or before.
+        """Apply changes since the version of the copy or an earlier one.
 
-        Several sources tell of the same changes, and some tell late: a row
-        that is no newer than the copy is in it, or was removed since.
+        Several sources report the same changes, and some do so late: a row
+        that is not newer than the copy is included in it, or was removed
+        since.
         """
         held = self.version
         for row in (*changes.rows, *self._list_expired_withheld(changes)):
             if row.version <= held:
                 continue
-            # Kept even if it is no news here: others may hold the row.
-            self._keep(row)
+            # Logged even if this copy does not change: a follower may hold
+            # the row.
+            self._log_change(row)
             known = self._rows.get(row.key)
             if known is not None and known.version >= row.version:
                 continue
@@ -218,9 +227,9 @@
             return
         self._rows.pop(row.key, None)
         if known is not None and row.origin is RowOrigin.WRITTEN:
-            self._remember_removed(known)
+            self._record_removal(known)
 
-    def _remember_removed(self, row: VersionedRow) -> None:
+    def _record_removal(self, row: VersionedRow) -> None:
         now = self._clock.monotonic()
         self._removed.pop(row.key, None)
         self._removed[row.key] = RemovedRow(
@@ -228,7 +237,7 @@
         )
         while True:
             oldest = next(iter(self._removed))
-            if now - self._removed[oldest].removed_at < KEEP_REMOVED_SECONDS:
+            if now - self._removed[oldest].removed_at < REMOVAL_TTL_SECONDS:
                 return
             del self._removed[oldest]
 
@@ -252,7 +261,7 @@
         ]
 
     def list_since(self, version: int) -> CopyUpdate:
-        """Return what changed after a version, or all rows if unknown."""
+        """Return the changes after a version, or all rows if unknown."""
         if version < self._changes_from:
             rows = tuple(self._rows.values())
             return CopyUpdate(RowChanges(rows, self.version), True)
@@ -262,7 +271,7 @@
         rows = tuple(newest.values())
         return CopyUpdate(RowChanges(rows, self.version), False)
 
-    def _keep(self, row: VersionedRow) -> None:
+    def _log_change(self, row: VersionedRow) -> None:
         self._changes.append(row)
         if len(self._changes) > MAX_CHANGES:
             self._changes_from = self._changes.popleft().version
--- a/src/lifttrestle/internal/fleet/state/table_watch.py
+++ b/src/lifttrestle/internal/fleet/state/table_watch.py
@@ -10,10 +10,10 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Keeps the rows of one shared table up to date, and proves how current.
+"""Keeps the copy of one shared table up to date.
 
-What is held is known to be current as of the moment at which the read that
-proved it was *sent*: any later change may be missing from its answer.
+A copy is current as of the time at which its last successful read was *sent*:
+the response may lack any later change.
 """
 
 import asyncio
@@ -35,22 +35,23 @@
 from lifttrestle.internal.telemetry.event_log import get_event_log
 
 LOG = get_event_log('watch')
-# Pauses after a failed read: short enough to be back within a fraction of
-# the shortest promise (2 s), doubled to spare a store that is overloaded.
+# Backoff after a failed read: short enough to recover within a fraction of
+# the shortest guarantee (2 s), doubled to relieve an overloaded store.
 FIRST_PAUSE_SECONDS = 0.1
 MAX_PAUSE_SECONDS = 0.5
 
 
 class TableWatch:
-    """Follows one table and tells each change to a listener.
+    """Follows one table and calls a listener for each change.
 
-    :param wait_seconds: how long the store holds a read without news; a
-        watch that is silent for longer is taken for dead by the client.
+    :param wait_seconds: how long the store delays its response to a read
+        while there are no changes; the client treats a watch without a
+        response for longer as failed.
     :param listener: is called with each row that is new, changed or removed.
-    :param batch_seconds: between news and the next read, so that changes that
-        come together cost one read.
-    :param eager: read the table once without being told to; else another
-        router may tell all of it first.
+    :param batch_seconds: pause between a read with changes and the next one,
+        so that changes in quick succession take one read.
+    :param eager: read the table once without a request to do so; otherwise
+        another router may send all of it first.
     :param policy: decides which held rows are kept when the store is
         restored from an older copy; by default none.
     """
@@ -74,7 +75,7 @@
         self._clock = clock
         self._source = source
         self._wait_seconds = wait_seconds
-        self._rest_seconds = batch_seconds
+        self._batch_seconds = batch_seconds
         self._history_gone = False
         self._lost = False
         self._direct = asyncio.Event()
@@ -82,7 +83,7 @@
             self._direct.set()
         self._reading: asyncio.Task[bool] | None = None
         self._dependants: list[TableWatch] = []
-        self._followers: list[Callable[[TableWatch], None]] = []
+        self._observers: list[Callable[[TableWatch], None]] = []
         self.copy = TableCopy(table, clock, listener, policy)
 
     @property
@@ -97,87 +98,89 @@
 
     @property
     def current_as_of(self) -> float:
-        """Return until when what is held is known to be current."""
+        """Return the time as of which the copy is known to be current."""
         return self.copy.current_as_of
 
     def get_age(self) -> float:
-        """Return for how many seconds nothing has proved what is held."""
+        """Return the seconds since the copy was last known to be current."""
         return self.copy.get_age()
 
     def set_direct_reads(self, directly: bool) -> None:
-        """Read the store, or leave that to other routers from now on."""
+        """Set whether to read the store or rely on other routers."""
         if directly:
             self._direct.set()
         else:
             self._direct.clear()
 
-    def tell(self, follower: 'Callable[[TableWatch], None]') -> None:
-        """Call ``follower`` after each proof."""
-        self._followers.append(follower)
+    def add_observer(self, observer: 'Callable[[TableWatch], None]') -> None:
+        """Call ``observer`` after each successful read or relayed update."""
+        self._observers.append(observer)
 
-    def take_relayed(
-        self, news: CopyUpdate, current_as_of: float, after_outage: bool
+    def apply_relayed(
+        self, update: CopyUpdate, current_as_of: float, after_outage: bool
     ) -> None:
-        """Take in what another router has read.
+        """Apply what another router has read.
 
-        :param after_outage: the store was away before that router read it.
+        :param after_outage: the store was unavailable before that read.
         """
-        if get_epoch(news.changes.version) < get_epoch(self.copy.version):
+        if get_epoch(update.changes.version) < get_epoch(self.copy.version):
             # The other router has not seen the restore yet or reports no
-            # epoch, so its reads prove nothing about the current epoch.
+            # epoch, so its reads say nothing about the current epoch.
             LOG.info(
                 'watch.earlier_epoch',
                 table=self._table,
-                version=format_version(news.changes.version),
+                version=format_version(update.changes.version),
                 held=format_version(self.copy.version),
             )
             return
         self._lost = self._lost or after_outage
-        if news.whole and news.changes.version < self.copy.version:
-            # It was overtaken by this router's own read; what it proves
-            # holds, as nothing newer was there.
-            news = CopyUpdate(RowChanges((), news.changes.version), False)
-        self._take(news, current_as_of)
+        if update.is_snapshot and update.changes.version < self.copy.version:
+            # A read of this router's own was faster. The time as of which
+            # the update is current still counts: nothing newer existed then.
+            update = CopyUpdate(RowChanges((), update.changes.version), False)
+        self._apply(update, current_as_of)
 
     def restart_with(self, other: 'TableWatch') -> None:
-        """Read anew when ``other`` has regained the store.
+        """Restart the pending read when ``other`` reaches the store again.
 
-        A read that was sent before an outage may wait for an answer that
-        never comes, while the store is back.
+        A read that was sent before an outage may wait for a response that
+        never arrives, although the store is available again.
         """
         other._dependants.append(self)
 
     async def run(self) -> None:
-        """Follow the table for ever."""
+        """Follow the table until cancelled."""
         pause = FIRST_PAUSE_SECONDS
         while True:
             if self.copy.loaded or not self._eager:
                 await self._direct.wait()
-            self._reading = asyncio.create_task(self.step())
+            self._reading = asyncio.create_task(self.read_once())
             try:
                 await asyncio.wait({self._reading})
             finally:
                 self._reading.cancel()
             try:
-                news = not self._reading.cancelled() and self._reading.result()
+                has_changes = (
+                    not self._reading.cancelled() and self._reading.result()
+                )
                 pause = FIRST_PAUSE_SECONDS
-                if news and self._rest_seconds:
-                    await self._clock.sleep(self._rest_seconds)
+                if has_changes and self._batch_seconds:
+                    await self._clock.sleep(self._batch_seconds)
             except PlatformUnavailable as error:
                 self._note_lost(error)
                 await self._clock.sleep(pause * self._source.uniform(0.5, 1.0))
                 pause = min(pause * 2, MAX_PAUSE_SECONDS)
 
-    async def step(self) -> bool:
-        """Make one read and take in what it says; return if it was news."""
-        asked_at = self._clock.monotonic()
+    async def read_once(self) -> bool:
+        """Read once, apply the response and return if it had changes."""
+        sent_at = self._clock.monotonic()
         if not self.copy.loaded or self._history_gone:
             snapshot = await self._store.read_table(self._table)
-            self._take(CopyUpdate(snapshot, True), asked_at)
+            self._apply(CopyUpdate(snapshot, True), sent_at)
             self._history_gone = False
             return True
-        # While it is lost, a read that waits would tell of the store's
-        # return only when it times out.
+        # After a failed read, a waiting read would show that the store is
+        # available again only when it times out.
         wait = 0.0 if self._lost else self._wait_seconds
         try:
             changes = await self._store.watch_table(
@@ -189,25 +192,27 @@
             )
             self._history_gone = True
             return False
-        self._take(CopyUpdate(changes, False), asked_at)
+        self._apply(CopyUpdate(changes, False), sent_at)
         return bool(changes.rows)
 
     def restart(self) -> None:
-        """Give up the read that is under way and send another."""
+        """Cancel the pending read and send another."""
         if self._reading is not None:
             self._reading.cancel()
 
-    def _take(self, news: CopyUpdate, current_as_of: float) -> None:
+    def _apply(self, update: CopyUpdate, current_as_of: float) -> None:
         previous_version = self.copy.version
         age = self.get_age()
-        take = (
-            self.copy.apply_snapshot if news.whole else self.copy.apply_changes
+        apply = (
+            self.copy.apply_snapshot
+            if update.is_snapshot
+            else self.copy.apply_changes
         )
-        take(news.changes, current_as_of)
+        apply(update.changes, current_as_of)
         if previous_version != NO_ROW:
             self._note_epoch_change(previous_version, age)
-        for follower in self._followers:
-            follower(self)
+        for observer in self._observers:
+            observer(self)
         self._note_regained()
 
     def _note_epoch_change(self, previous_version: int, age: float) -> None:
--- a/src/lifttrestle/internal/fleet/state/weights_view.py
+++ b/src/lifttrestle/internal/fleet/state/weights_view.py
@@ -10,12 +10,12 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Who loads new weights into which engines now, as all routers see it.
+"""The plans for loading new weights into engines, as all routers see them.
 
-One row a model is the holder's lease, its plan and its fence at once: it is
-written, under the condition that no one else wrote it, before each batch of
-orders. So every router steers away from the engines of a batch before the
-orders reach them.
+One row per model is the holder's lease, its plan and its fencing token. The
+holder writes it before each batch of orders, on the condition that no other
+router has written it. So every router avoids the engines of a batch before
+the orders reach them.
 """
 
 import dataclasses
@@ -34,16 +34,18 @@
 
 LOG = get_event_log('weights')
 PLAN_PREFIX = 'weights/'
-# An engine in a batch is avoided for this long at most: a load takes about a
-# second, longer where the order was lost and is given again.
-BATCH_SECONDS = 3.0
+# The longest time that the engines of a batch are avoided: a load takes about
+# a second, longer if the order was lost and is sent again.
+MAX_BUSY_SECONDS = 3.0
 
 
 class WeightsPlan(msgspec.Struct, frozen=True):
-    """The row's content.
+    """The content of a plan's row.
 
-    :ivar loading: starts of the batch that is being ordered.
-    :ivar loaded: starts that were seen to hold the version.
+    :ivar holder: the router that holds the lease.
+    :ivar version: the version of the weights to load.
+    :ivar loading: upstream starts of the batch that is being ordered.
+    :ivar loaded: upstream starts that were seen to hold the version.
     """
 
     holder: str
@@ -55,7 +57,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class ObservedPlan:
-    """A plan with the version of its row and when it was first seen.
+    """A plan, the version of its row and the time it was first seen.
 
     :ivar epoch: the store's epoch in which the row was seen, or found to be
         missing.
@@ -71,7 +73,7 @@
 
 
 class WeightsView:
-    """Follows the plans and tells the directory what they mean."""
+    """Follows the plans and updates the directory of upstreams from them."""
 
     def __init__(
         self,
@@ -85,23 +87,23 @@
         self._held: dict[str, ObservedPlan] = {}
         self._epoch = 0
         # When a row of this epoch was first seen. The lease of a missing plan
-        # counts from then, as the restored store may have lost the plan.
+        # starts then, as the restored store may have lost the plan.
         self._epoch_seen_at = float('-inf')
 
     def get(self, model: str) -> ObservedPlan:
         """Return the newest plan seen for a model."""
         held = self._held.get(model)
         # The rows of an epoch are reported together: a plan that is known
-        # from an earlier one only is not in the restored store.
+        # only from an earlier epoch is not in the restored store.
         if held is None or held.epoch < self._epoch:
             return ObservedPlan(None, NO_ROW, self._epoch_seen_at, self._epoch)
         return held
 
     def apply_row(self, row: VersionedRow) -> None:
-        """Take in a changed row of the routers' table.
+        """Apply a changed row of the routers' table.
 
-        A row that holds no plan has no holder; it still is the row that the
-        next holder's write has to be conditional on.
+        A row without a valid plan has no holder, but the next holder's write
+        must still be conditional on its version.
         """
         if get_epoch(row.version) > self._epoch:
             self._epoch = get_epoch(row.version)
@@ -113,7 +115,7 @@
             self._note_no_plan(model, row.version, NO_ROW)
             return
         try:
-            plan = _read_plan(model, row.value)
+            plan = _decode_plan(model, row.value)
         except ValueError as error:
             self._refusals.note('plans', row.key, error)
             self._note_no_plan(model, row.version, row.version)
@@ -134,7 +136,7 @@
     def apply_plan(
         self, plan: WeightsPlan, row_version: int, *, restored: bool = False
     ) -> None:
-        """Believe a plan, unless a newer one is known."""
+        """Apply a plan unless a newer one is known."""
         if row_version <= self.get(plan.model).row_version:
             return
         now = self._clock.monotonic()
@@ -160,10 +162,10 @@
             if upstream is None:
                 continue
             if upstream.weights.get(plan.model, 0) < plan.version:
-                upstream.busy_until = now + BATCH_SECONDS
+                upstream.busy_until = now + MAX_BUSY_SECONDS
 
 
-def _read_plan(model: str, value: bytes) -> WeightsPlan:
+def _decode_plan(model: str, value: bytes) -> WeightsPlan:
     plan = decode_json(value, WeightsPlan)
     if plan.model != model:
         raise ValueError(f'the plan is for {plan.model!r}, not {model!r}')
--- a/tests/cover/test_fleet_view.py
+++ b/tests/cover/test_fleet_view.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""What the operator put in force, and which requests it admits."""
+"""Tests of the operator's settings in force and of request admission."""
 
 import collections
 import datetime
@@ -48,7 +48,7 @@
 
 
 class FakeParts:
-    """The parts that admission looks at."""
+    """The parts of a router that admission reads."""
 
     def __init__(self, view):
         self.view = view
@@ -75,7 +75,7 @@
     def configure(self, **fields):
         self.put('config', {**CONFIGURATION, **fields})
 
-    def name_weights(self, version):
+    def set_target_weights(self, version):
         self.put('version/m', {'model': 'm', 'version': version})
 
 
@@ -128,7 +128,7 @@
 
 class TestCacheStores(ViewCase):
     def place(self, names):
-        """Return the store of each of many parts."""
+        """Return the store of each of 300 parts."""
         stores = [
             {'name': name, 'kv_store_addr': f'10.0.0.{name[-1]}:9'}
             for name in names
@@ -142,7 +142,8 @@
         }
 
     def test_regression_parts_are_kept_in_all_stores(self):
-        # The first store by name had all parts; two of three were empty.
+        # If all parts are assigned to the first store by name, two of three
+        # stores are empty.
         held = self.place(['keep1', 'keep2', 'keep3'])
         counts = collections.Counter(held.values())
         self.assertEqual(len(counts), 3)
@@ -172,14 +173,15 @@
             self.view.apply_row(VersionedRow('config', b'{"version":', 9))
         self.assertEqual(self.view.catalogue.version, 3)
 
-    def test_regression_weights_are_judged_from_what_replaced_them(self):
-        # With a version every 4 s, an engine that was two versions behind
-        # was judged by the age of the newest and used 10.4 s after its own
-        # weights were replaced (sofia-chimes, quiet-1).
-        self.name_weights(1)
+    def test_regression_old_weights_are_timed_from_their_replacement(self):
+        # If weights are checked by the age of the newest version, an engine
+        # that is several versions behind is used for too long: with a version
+        # every 4 s, one that was two behind was used for 10.4 s after its
+        # weights were replaced.
+        self.set_target_weights(1)
         for version in (2, 3):
             self.clock.advance(4.0)
-            self.name_weights(version)
+            self.set_target_weights(version)
         wanted = self.view.target_weights['m']
         self.assertEqual(wanted.find_replaced_at(1), 4.0)
         self.assertEqual(wanted.find_replaced_at(2), 8.0)
@@ -187,6 +189,6 @@
 
     def test_weights_named_before_the_start_are_nearly_due(self):
         self.clock.advance(100.0)
-        self.name_weights(5)
+        self.set_target_weights(5)
         replaced_at = self.view.target_weights['m'].find_replaced_at(4)
         self.assertEqual(replaced_at, 100.0 - (8.5 - 3.0))
--- a/tests/cover/test_fleet_watch.py
+++ b/tests/cover/test_fleet_watch.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""The view of a shared table: how current it is; it never goes back."""
+"""Tests of the watch of a shared table: how current its copy is."""
 
 import asyncio
 import datetime
@@ -31,7 +31,7 @@
     def setUp(self):
         self.rows = MemoryRows()
         self.clock = ManualClock(START)
-        self.heard = []
+        self.received = []
         self.watch = self.make_watch()
 
     def make_watch(self, batch_seconds=0.0):
@@ -41,90 +41,91 @@
             self.clock,
             random.Random(1),
             1.5,
-            self.heard.append,
+            self.received.append,
             batch_seconds,
         )
 
-    def step(self):
-        asyncio.run(self.watch.step())
+    def read_once(self):
+        asyncio.run(self.watch.read_once())
 
-    def get_heard(self):
-        return [(row.key, row.value) for row in self.heard]
+    def get_received(self):
+        return [(row.key, row.value) for row in self.received]
 
-    def test_rows_and_changes_are_told_once(self):
+    def test_rows_and_changes_are_reported_once(self):
         self.rows.put('t', 'a', b'1')
-        self.step()
+        self.read_once()
         self.rows.put('t', 'a', b'2')
         self.rows.put('t', 'b', b'3')
-        self.step()
-        self.step()
+        self.read_once()
+        self.read_once()
         expected = [('a', b'1'), ('a', b'2'), ('b', b'3')]
-        self.assertEqual(self.get_heard(), expected)
+        self.assertEqual(self.get_received(), expected)
 
-    def test_proof_counts_from_the_send(self):
-        self.step()
-        answer = self.rows.watch_table
+    def test_copy_is_current_as_of_the_send_time(self):
+        self.read_once()
+        watch_table = self.rows.watch_table
 
-        async def answer_late(*arguments):
+        async def respond_late(*arguments):
             self.clock.advance(1.5)
-            return await answer(*arguments)
+            return await watch_table(*arguments)
 
-        self.rows.watch_table = answer_late
-        self.step()
+        self.rows.watch_table = respond_late
+        self.read_once()
         self.assertEqual(self.watch.get_age(), 1.5)
 
-    def test_failed_read_proves_nothing(self):
-        self.step()
+    def test_failed_read_does_not_confirm_the_copy(self):
+        self.read_once()
         self.clock.advance(1.0)
         self.rows.down = True
         with self.assertRaises(PlatformUnavailable):
-            self.step()
+            self.read_once()
         self.assertEqual(self.watch.get_age(), 1.0)
 
-    def test_regression_lost_watch_asks_without_waiting(self):
-        # With the store silent for 8 s, each read waited out its time, and
-        # the list of upstreams was back 5.3 s after the store (incident on
-        # sofia-chimes).
+    def test_regression_read_after_a_failure_does_not_wait(self):
+        # If each read after an outage waits until it times out, the copy is
+        # late: after a store outage of 8 s the list of upstreams was current
+        # only 5.3 s after the store was available again.
         waits = []
-        answer = self.rows.watch_table
+        watch_table = self.rows.watch_table
 
         async def note_wait(table, after, wait_seconds):
             waits.append(wait_seconds)
-            return await answer(table, after, wait_seconds)
+            return await watch_table(table, after, wait_seconds)
 
         self.rows.watch_table = note_wait
-        self.step()
+        self.read_once()
         self.rows.down = True
-        self.run_steps(2)
+        self.run_reads(2)
         self.rows.down = False
-        self.run_steps(2)
+        self.run_reads(2)
         self.assertEqual(waits[:4], [1.5, 0.0, 0.0, 1.5])
 
-    def run_steps(self, count):
+    def run_reads(self, count):
         async def run():
             following = asyncio.create_task(self.watch.run())
             for _ in range(count):
-                await self.let_one_read_pass()
+                await self.let_one_read_finish()
             following.cancel()
             await asyncio.gather(following, return_exceptions=True)
 
         asyncio.run(run())
 
-    async def let_one_read_pass(self):
+    async def let_one_read_finish(self):
         for _ in range(20):
             await asyncio.sleep(0)
         self.clock.advance(1.0)
 
-    def test_store_that_is_away_is_asked_less_and_less_often(self):
-        # 195 routers made 55,672 calls in a day in which the store reset all
-        # connections for 8 s: each watch asked 13 times a second.
-        asked = []
+    def test_reads_back_off_while_the_store_is_unavailable(self):
+        # Without a growing backoff each watch sent 13 reads a second: 195
+        # routers made 55,672 calls in a day in which the store reset all
+        # connections for 8 s.
+        read_times = []
 
         async def fail(table, after, wait_seconds):
-            asked.append(self.clock.monotonic())
+            read_times.append(self.clock.monotonic())
             raise PlatformUnavailable('reset')
 
-        self.step()
+        self.read_once()
         self.rows.watch_table = fail
 
         async def run():
@@ -137,23 +138,23 @@
             await asyncio.gather(following, return_exceptions=True)
 
         asyncio.run(run())
-        # At least a quarter of a second apart once the pauses have grown.
-        self.assertLessEqual(len(asked), 36)
+        # The reads are at least 0.25 s apart once the backoff is at its limit.
+        self.assertLessEqual(len(read_times), 36)
 
-    def test_changes_that_come_together_cost_one_read(self):
+    def test_changes_in_quick_succession_take_one_read(self):
         reads = []
-        answer = self.rows.watch_table
+        watch_table = self.rows.watch_table
 
         async def note_read(table, after, wait_seconds):
             reads.append(self.clock.monotonic())
-            changes = await answer(table, after, wait_seconds)
+            changes = await watch_table(table, after, wait_seconds)
             if not changes.rows:
                 await asyncio.Event().wait()
             return changes
 
         self.rows.watch_table = note_read
         self.watch = self.make_watch(batch_seconds=0.2)
-        self.step()
+        self.read_once()
         self.rows.put('t', 'a', b'1')
 
         async def run():
@@ -167,12 +168,12 @@
             await asyncio.gather(following, return_exceptions=True)
 
         asyncio.run(run())
-        # Twenty changes in a second.
+        # There were twenty changes in a second.
         self.assertEqual(len(reads), 5)
 
     def test_regression_return_of_one_watch_restarts_the_others(self):
-        # A read of the routers' table waits for 10 s; sent just before a
-        # short cut it would tell nothing for as long.
+        # A read of the routers' table waits for up to 10 s. One that was sent
+        # just before a short network outage would return nothing until then.
         async def run():
             hanging = asyncio.Event()
             reads = []
@@ -187,17 +188,17 @@
                 slow, 'u', self.clock, random.Random(1), 10.0, print
             )
             other.restart_with(self.watch)
-            await self.watch.step()
+            await self.watch.read_once()
             following = asyncio.create_task(other.run())
             for _ in range(20):
                 await asyncio.sleep(0)
             before = len(reads)
             self.rows.down = True
             with self.assertRaises(PlatformUnavailable):
-                await self.watch.step()
+                await self.watch.read_once()
             self.watch._note_lost(PlatformUnavailable('down'))
             self.rows.down = False
-            await self.watch.step()
+            await self.watch.read_once()
             for _ in range(20):
                 await asyncio.sleep(0)
             following.cancel()
@@ -206,53 +207,53 @@
 
         self.assertEqual(asyncio.run(run()), (1, 2))
 
-    def test_dropped_history_is_read_anew_with_what_was_removed(self):
+    def test_missing_history_causes_a_full_read_with_removals(self):
         self.rows.put('t', 'a', b'1')
         self.rows.put('t', 'b', b'2')
-        self.step()
+        self.read_once()
         self.rows.put('t', 'a', None)
         self.rows.oldest = self.rows.version + 1
-        self.step()
+        self.read_once()
         self.rows.oldest = 0
-        self.step()
-        self.assertEqual(self.get_heard()[2:], [('a', None)])
+        self.read_once()
+        self.assertEqual(self.get_received()[2:], [('a', None)])
 
-    def test_store_that_went_back_is_not_believed(self):
+    def test_snapshot_older_than_the_copy_is_refused(self):
         self.rows.put('t', 'a', b'1')
-        self.step()
+        self.read_once()
         self.rows.oldest = self.rows.version + 1
-        self.step()
+        self.read_once()
 
-        async def answer_old(table):
+        async def return_older(table):
             return RowChanges((), 0)
 
-        self.rows.read_table = answer_old
+        self.rows.read_table = return_older
         with self.assertRaises(PlatformUnavailable):
-            self.step()
-        self.assertEqual(self.get_heard(), [('a', b'1')])
+            self.read_once()
+        self.assertEqual(self.get_received(), [('a', b'1')])
 
-    def test_restored_store_is_read_anew(self):
+    def test_restored_store_is_read_again(self):
         self.rows.put('t', 'a', b'1')
         snapshot = self.rows.take_snapshot()
         self.rows.put('t', 'a', b'2')
         self.rows.put('t', 'b', b'3')
-        self.step()
+        self.read_once()
         self.rows.restore(snapshot)
         self.rows.put('t', 'c', b'4')
-        self.step()
-        self.step()
+        self.read_once()
+        self.read_once()
         self.assertEqual(
-            self.get_heard()[2:], [('a', b'1'), ('c', b'4'), ('b', None)]
+            self.get_received()[2:], [('a', b'1'), ('c', b'4'), ('b', None)]
         )
         self.rows.put('t', 'c', b'5')
-        self.step()
-        self.assertEqual(self.get_heard()[5:], [('c', b'5')])
+        self.read_once()
+        self.assertEqual(self.get_received()[5:], [('c', b'5')])
 
-    def test_relayed_news_without_epoch_proves_nothing(self):
+    def test_relayed_update_without_epoch_does_not_confirm_the_copy(self):
         self.rows.restore(self.rows.take_snapshot())
-        self.step()
+        self.read_once()
         current_as_of = self.watch.current_as_of
         self.clock.advance(1.0)
-        news = CopyUpdate(RowChanges((), 57), False)
-        self.watch.take_relayed(news, self.clock.monotonic(), False)
+        update = CopyUpdate(RowChanges((), 57), False)
+        self.watch.apply_relayed(update, self.clock.monotonic(), False)
         self.assertEqual(self.watch.current_as_of, current_as_of)
--- a/tests/cover/test_relay_follower.py
+++ b/tests/cover/test_relay_follower.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Whom a router asks for the shared tables, and what it does without."""
+"""Tests of which relays a router follows for the shared tables."""
 
 import asyncio
 import datetime
@@ -24,8 +24,8 @@
 from lifttrestle.internal.clock.beat import Beat
 from lifttrestle.internal.clock.manual import ManualClock
 from lifttrestle.internal.fleet.state.relay_follower import AVOID_SECONDS
-from lifttrestle.internal.fleet.state.relay_follower import LOOK_SECONDS
-from lifttrestle.internal.fleet.state.relay_follower import RANKING
+from lifttrestle.internal.fleet.state.relay_follower import POLL_SECONDS
+from lifttrestle.internal.fleet.state.relay_follower import RELAY_RANKING_KEY
 from lifttrestle.internal.fleet.state.relay_follower import RelayFollower
 from lifttrestle.internal.fleet.state.relay_messages import TableUpdate
 from lifttrestle.internal.fleet.state.roster import Roster
@@ -36,22 +36,22 @@
 from tests.support.memory_rows import MemoryRows
 
 START = datetime.datetime(2026, 12, 2, tzinfo=datetime.timezone.utc)
-# Enough for three relays, of which two are asked.
+# Enough routers for three relays, of which each follower uses two.
 NAMES = [f'r{number}' for number in range(40)]
-RANKED = rank_names(RANKING, [f'router/{name}' for name in NAMES])
+RANKED = rank_names(RELAY_RANKING_KEY, [f'router/{name}' for name in NAMES])
 RELAYS = RANKED[:3]
 OWN_KEY = RANKED[-1]
-UNREADABLE = 'router.example:7400'
+INVALID_ADDRESS = 'router.example:7400'
 
 
 class Network:
-    """Stands for the network: connections open at once and stay silent."""
+    """Simulated network: connections open immediately and carry no data."""
 
     def __init__(self):
-        self.asked = []
+        self.connected = []
 
     async def open_connection(self, host, port):
-        self.asked.append(f'{host}:{port}')
+        self.connected.append(f'{host}:{port}')
         writer = mock.Mock()
         writer.transport.get_extra_info.return_value = None
         return asyncio.StreamReader(), writer
@@ -62,7 +62,7 @@
         await asyncio.sleep(0)
 
 
-class TestUnreadableAddress(unittest.IsolatedAsyncioTestCase):
+class TestInvalidAddress(unittest.IsolatedAsyncioTestCase):
     def setUp(self):
         self.clock = ManualClock(START)
         self.network = Network()
@@ -88,48 +88,49 @@
             self.roster.take(VersionedRow(key, row, 1))
 
     async def follow(self):
-        """Let the follower look for three times the time of avoidance."""
+        """Run the follower for three times ``AVOID_SECONDS``."""
         running = asyncio.create_task(self.follower.run(Beat(self.clock)))
         await settle()
-        for _ in range(int(3 * AVOID_SECONDS / LOOK_SECONDS)):
-            self.clock.advance(LOOK_SECONDS)
+        for _ in range(int(3 * AVOID_SECONDS / POLL_SECONDS)):
+            self.clock.advance(POLL_SECONDS)
             await settle()
         running.cancel()
         await asyncio.gather(running, return_exceptions=True)
 
-    async def test_regression_router_without_a_readable_address_is_told(self):
-        # The task that asked it ended with an error that nobody read.
-        self.addresses[RELAYS[0]] = UNREADABLE
+    async def test_regression_router_with_an_invalid_address_is_logged(self):
+        # The address makes the task that connects to the router fail; its
+        # error must be logged.
+        self.addresses[RELAYS[0]] = INVALID_ADDRESS
         with self.assertLogs('lifttrestle') as logs:
             self.take_rows()
             await self.follow()
-        told = [
+        reasons = [
             record.fields['reason']
             for record in logs.records
             if record.fields.get('key') == RELAYS[0]
         ]
-        self.assertEqual(len(told), 1, logs.output)
-        self.assertIn(UNREADABLE, told[0])
+        self.assertEqual(len(reasons), 1, logs.output)
+        self.assertIn(INVALID_ADDRESS, reasons[0])
 
-    async def test_regression_two_others_are_asked_all_the_while(self):
-        # Each time its turn came again, another's connection was given up
-        # for it.
-        self.addresses[RELAYS[0]] = UNREADABLE
+    async def test_regression_invalid_address_keeps_other_connections(self):
+        # Each retry of the relay with the invalid address must not close the
+        # connection to another one.
+        self.addresses[RELAYS[0]] = INVALID_ADDRESS
         self.take_rows()
         await self.follow()
         others = [self.addresses[key] for key in RELAYS[1:]]
-        self.assertCountEqual(self.network.asked, others)
+        self.assertCountEqual(self.network.connected, others)
 
-    async def test_proof_of_what_is_not_yet_is_refused(self):
-        # A view that is proved until then would let keys that were taken
-        # away work on.
-        asked_at = [self.clock.monotonic()]
+    async def test_update_as_of_a_future_time_is_refused(self):
+        # A copy that counts as current until a future time would let revoked
+        # keys be accepted until then.
+        sent_at = [self.clock.monotonic()]
         for seconds in (0.5, float('inf'), float('nan')):
-            news = TableUpdate(0, 't', 1, seconds, False, True, [])
+            update = TableUpdate(0, 't', 1, seconds, False, True, [])
             with self.subTest(seconds=seconds):
                 with self.assertRaises(InputRefused):
-                    self.follower._take(news, asked_at)
-        self.follower._take(
-            TableUpdate(0, 't', 1, -0.5, False, True, []), asked_at
+                    self.follower._apply_update(update, sent_at)
+        self.follower._apply_update(
+            TableUpdate(0, 't', 1, -0.5, False, True, []), sent_at
         )
-        self.assertEqual(self.watch.current_as_of, asked_at[0] - 0.5)
+        self.assertEqual(self.watch.current_as_of, sent_at[0] - 0.5)
--- a/tests/cover/test_relay_model.py
+++ b/tests/cover/test_relay_model.py
@@ -10,12 +10,12 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""A model of how routers come to believe what the shared table holds.
+"""Model-based tests of how routers replicate a shared table.
 
-Three routers read one table, from the store or from each other, with every
-question and answer held up at will. At all times a router's copy must be the
-table as of some commit, and no commit made by the moment as of which the copy
-is said to be proved may be missing from it.
+Three routers read one table, from the store or from each other, and each
+request and response may be delayed. At all times the copy of a router must
+equal the table as of some commit, and must include every commit that was made
+before the time as of which the copy is said to be current.
 """
 
 import asyncio
@@ -51,12 +51,12 @@
 TABLE = 't'
 KEYS = ('a', 'b')
 NAMES = ('r', 's', 'u')
-# Mostly the one that the others hear of.
+# Mostly the router that the others follow.
 READERS = st.sampled_from((0, 0, 0, 1, 2))
 
 
 class HeldRead:
-    """A read on its way: sent, then answered by the store, then received."""
+    """A pending read: sent, then answered by the store, then received."""
 
     def __init__(self, read):
         self.read = read
@@ -65,7 +65,7 @@
 
 
 class HeldRows(RowStore):
-    """A store whose answers are made and delivered one step at a time."""
+    """A store whose responses are made and delivered in separate steps."""
 
     def __init__(self, rows):
         self._rows = rows
@@ -95,7 +95,7 @@
 
 
 class Pipe:
-    """Stands for a connection's writer; what is written waits in order."""
+    """Replaces the writer of a connection and queues the written frames."""
 
     def __init__(self):
         self.frames = collections.deque()
@@ -112,7 +112,7 @@
 
 
 class Connection:
-    """A follower's connection to a relay, with both directions held up."""
+    """A follower's connection to a relay, with both directions queued."""
 
     def __init__(self, follower, relay):
         self.questions = Pipe()
@@ -125,7 +125,7 @@
 
     def ask(self):
         number = len(self.asked_at)
-        asked_at = self.follower.follower._question(self.questions, number)
+        asked_at = self.follower.follower._send_request(self.questions, number)
         self.asked_at.append(asked_at)
 
 
@@ -228,7 +228,7 @@
     def begin_read(self, index):
         router = self.routers[index]
         if router.reading is None or router.reading.done():
-            router.reading = self.loop.create_task(router.watch.step())
+            router.reading = self.loop.create_task(router.watch.read_once())
             self.settle()
 
     @stateful.rule(index=READERS)
@@ -270,7 +270,7 @@
         connection = self.connections[number]
         if connection.questions.frames:
             frame = connection.questions.frames.popleft()
-            connection.relay.server._take_question(connection.record, frame)
+            connection.relay.server._handle_request(connection.record, frame)
 
     @stateful.rule(number=st.integers(0, 2), count=st.integers(1, 5))
     def news_arrive(self, number, count):
@@ -278,7 +278,9 @@
         for _ in range(min(count, len(connection.news.frames))):
             frame = connection.news.frames.popleft()
             message = msgspec.msgpack.decode(frame, type=TableUpdate)
-            connection.follower.follower._take(message, connection.asked_at)
+            connection.follower.follower._apply_update(
+                message, connection.asked_at
+            )
 
     @stateful.invariant()
     def copies_are_the_table_at_their_version(self):
@@ -339,26 +341,26 @@
         self.clock.advance(0.1)
 
 
-class LateProofWatch(TableWatch):
-    """Planted fault: a read proves the moment of its answer."""
+class ResponseTimeWatch(TableWatch):
+    """Injected fault: a copy counts as current as of the response."""
 
-    def _take(self, news, current_as_of):
-        super()._take(news, self._clock.monotonic())
+    def _apply(self, update, current_as_of):
+        super()._apply(update, self._clock.monotonic())
 
 
-class TrustingFollower(RelayFollower):
-    """Planted fault: news prove the moment at which they arrive."""
+class ArrivalTimeFollower(RelayFollower):
+    """Injected fault: a copy counts as current as of an update's arrival."""
 
-    def _take(self, message, asked_at):
-        now = [self._clock.monotonic()] * len(asked_at)
-        # What lies in the future is refused; it trusts just up to that.
-        proved_after = min(message.proved_after, 0.0)
-        message = msgspec.structs.replace(message, proved_after=proved_after)
-        super()._take(message, now)
+    def _apply_update(self, message, sent_at):
+        now = [self._clock.monotonic()] * len(sent_at)
+        # A time in the future is refused, so the offset is at most zero.
+        as_of_offset = min(message.as_of_offset, 0.0)
+        message = msgspec.structs.replace(message, as_of_offset=as_of_offset)
+        super()._apply_update(message, now)
 
 
 class EpochIgnoringRows(MemoryRows):
-    """Planted fault: a watch ignores the epoch of its version."""
+    """Injected fault: a watch ignores the epoch of its version."""
 
     async def watch_table(self, table, after, wait_seconds):
         commit_number = min(
@@ -368,25 +370,25 @@
         return await super().watch_table(table, after, wait_seconds)
 
 
-class ForgetfulServer(RelayServer):
-    """Planted fault: removed rows are not told."""
+class RemovalOmittingServer(RelayServer):
+    """Injected fault: updates omit removed rows."""
 
-    def _tell(self, follower, watch):
+    def _send_update(self, follower, watch):
         copy = watch.copy
-        full = copy.list_since
+        list_changes = copy.list_since
 
         def list_kept(version):
-            news = full(version)
-            kept = tuple(row for row in news.changes.rows if row.value)
+            update = list_changes(version)
+            kept = tuple(row for row in update.changes.rows if row.value)
             return CopyUpdate(
-                type(news.changes)(kept, copy.version), news.whole
+                type(update.changes)(kept, copy.version), update.is_snapshot
             )
 
         copy.list_since = list_kept
         try:
-            super()._tell(follower, watch)
+            super()._send_update(follower, watch)
         finally:
-            copy.list_since = full
+            copy.list_since = list_changes
 
 
 def run_machine(machine=ViewMachine, **faults):
@@ -397,17 +399,17 @@
     def test_copies_hold_what_they_are_said_to_hold(self):
         run_machine()
 
-    def test_planted_proof_by_the_answer_is_found(self):
+    def test_planted_response_time_is_found(self):
         with self.assertRaises(AssertionError):
-            run_machine(watch=LateProofWatch)
+            run_machine(watch=ResponseTimeWatch)
 
-    def test_planted_proof_by_arrival_is_found(self):
+    def test_planted_arrival_time_is_found(self):
         with self.assertRaises(AssertionError):
-            run_machine(follower=TrustingFollower)
+            run_machine(follower=ArrivalTimeFollower)
 
     def test_planted_forgotten_removal_is_found(self):
         with self.assertRaises(AssertionError):
-            run_machine(server=ForgetfulServer)
+            run_machine(server=RemovalOmittingServer)
 
     def test_copies_match_a_restored_store(self):
         run_machine(RestoredStoreMachine)
--- a/tests/cover/test_restored_rows.py
+++ b/tests/cover/test_restored_rows.py
@@ -24,13 +24,13 @@
 from lifttrestle.internal.fleet.state.rows import RowChanges
 from lifttrestle.internal.fleet.state.rows import RowOrigin
 from lifttrestle.internal.fleet.state.rows import VersionedRow
-from lifttrestle.internal.fleet.state.table_copy import KEEP_REMOVED_SECONDS
+from lifttrestle.internal.fleet.state.table_copy import REMOVAL_TTL_SECONDS
 from lifttrestle.internal.fleet.state.table_copy import TableCopy
 from lifttrestle.internal.platform.stored_format import PlatformFormat
 from tests.support.entries import make_entry
 
 START = datetime.datetime(2026, 12, 2, tzinfo=datetime.timezone.utc)
-LAPSE_SECONDS = 4.8
+EXPIRY_SECONDS = 4.8
 
 
 def encode(**fields):
@@ -42,16 +42,18 @@
 
     def setUp(self):
         self.clock = ManualClock(START)
-        self.heard = []
-        self.copy = TableCopy('t', self.clock, self.heard.append, self.policy)
+        self.received = []
+        self.copy = TableCopy(
+            't', self.clock, self.received.append, self.policy
+        )
 
     def apply_snapshot(self, epoch, number, **rows):
-        """Take in a whole table; rows map keys to (commit number, value)."""
-        self.heard.clear()
+        """Apply a snapshot; ``rows`` maps keys to (commit number, value)."""
+        self.received.clear()
         self.copy.apply_snapshot(self.make_changes(epoch, number, rows), 0.0)
 
     def apply_changes(self, epoch, number, **rows):
-        self.heard.clear()
+        self.received.clear()
         self.copy.apply_changes(self.make_changes(epoch, number, rows), 0.0)
 
     def make_changes(self, epoch, number, rows):
@@ -61,8 +63,8 @@
         )
         return RowChanges(versioned_rows, build_version(epoch, number))
 
-    def get_heard(self):
-        return {row.key: (row.value, row.origin) for row in self.heard}
+    def get_received(self):
+        return {row.key: (row.value, row.origin) for row in self.received}
 
     def get_relayed_rows(self):
         """Return the rows that a relay sends to a starting router."""
@@ -75,7 +77,7 @@
         self.apply_snapshot(1, 9, a=(3, b'1'), b=(9, b'2'))
         self.apply_snapshot(2, 5, a=(3, b'1'), c=(5, b'3'))
         self.assertEqual(
-            self.get_heard(),
+            self.get_received(),
             {
                 'a': (b'1', RowOrigin.RESTORED),
                 'c': (b'3', RowOrigin.RESTORED),
@@ -86,18 +88,22 @@
     def test_first_read_after_a_restore_marks_rows_as_restored(self):
         # A starting router holds no copy from the previous epoch.
         self.apply_snapshot(1, 9, a=(3, b'1'))
-        self.assertEqual(self.get_heard(), {'a': (b'1', RowOrigin.RESTORED)})
+        self.assertEqual(
+            self.get_received(), {'a': (b'1', RowOrigin.RESTORED)}
+        )
 
     def test_reread_in_the_same_epoch_is_not_a_restore(self):
         self.apply_snapshot(1, 9, a=(3, b'1'), b=(9, b'2'))
         self.apply_snapshot(1, 12, a=(3, b'1'))
-        self.assertEqual(self.get_heard(), {'b': (None, RowOrigin.WRITTEN)})
+        self.assertEqual(self.get_received(), {'b': (None, RowOrigin.WRITTEN)})
 
     def test_removed_row_that_returns_is_undeleted(self):
         self.apply_snapshot(1, 9, a=(3, b'1'))
         self.apply_changes(1, 10, a=(10, None))
         self.apply_snapshot(2, 5, a=(3, b'1'))
-        self.assertEqual(self.get_heard(), {'a': (b'1', RowOrigin.UNDELETED)})
+        self.assertEqual(
+            self.get_received(), {'a': (b'1', RowOrigin.UNDELETED)}
+        )
 
     def test_regression_second_restore_hid_that_a_row_was_removed(self):
         self.apply_snapshot(1, 9, a=(3, b'1'))
@@ -105,23 +111,25 @@
         for epoch in (2, 3):
             self.apply_snapshot(epoch, 5, a=(3, b'1'))
             self.assertEqual(
-                self.get_heard(), {'a': (b'1', RowOrigin.UNDELETED)}
+                self.get_received(), {'a': (b'1', RowOrigin.UNDELETED)}
             )
 
     def test_removed_row_that_is_written_after_restore_is_accepted(self):
         self.apply_snapshot(1, 9, a=(3, b'1'))
         self.apply_changes(1, 10, a=(10, None))
         self.apply_snapshot(2, 5, a=(4, b'2'))
-        self.assertEqual(self.get_heard(), {'a': (b'2', RowOrigin.RESTORED)})
+        self.assertEqual(
+            self.get_received(), {'a': (b'2', RowOrigin.RESTORED)}
+        )
 
     def test_removal_is_forgotten_after_the_retention_period(self):
         self.apply_snapshot(1, 9, a=(3, b'1'), b=(4, b'1'))
         self.apply_changes(1, 10, a=(10, None))
-        self.clock.advance(KEEP_REMOVED_SECONDS + 1)
+        self.clock.advance(REMOVAL_TTL_SECONDS + 1)
         self.apply_changes(1, 11, b=(11, None))
         self.apply_snapshot(2, 5, a=(3, b'1'), b=(4, b'1'))
         self.assertEqual(
-            self.get_heard(),
+            self.get_received(),
             {
                 'a': (b'1', RowOrigin.RESTORED),
                 'b': (b'1', RowOrigin.UNDELETED),
@@ -132,7 +140,7 @@
         self.apply_snapshot(1, 9, a=(3, b'1'), b=(9, b'2'))
         self.apply_snapshot(2, 5, a=(3, b'1'))
         self.apply_snapshot(3, 2)
-        self.assertEqual(self.get_heard(), {'a': (None, RowOrigin.LOST)})
+        self.assertEqual(self.get_received(), {'a': (None, RowOrigin.LOST)})
 
 
 class TestOperatorPolicy(TableCopyTestCase):
@@ -174,7 +182,7 @@
 
 
 class TestUpstreamPolicy(TableCopyTestCase):
-    policy = UpstreamPolicy(PlatformFormat(), LAPSE_SECONDS)
+    policy = UpstreamPolicy(PlatformFormat(), EXPIRY_SECONDS)
 
     def setUp(self):
         super().setUp()
@@ -206,17 +214,17 @@
         self.apply_snapshot(1, 9, p=(3, self.ready))
         self.apply_changes(1, 10, p=(10, None))
         self.apply_snapshot(2, 5, p=(3, self.ready))
-        self.clock.advance(LAPSE_SECONDS)
+        self.clock.advance(EXPIRY_SECONDS)
         self.apply_changes(2, 6)
         self.assertEqual(self.get_relayed_rows(), {'p': self.ready})
-        news = self.copy.list_since(build_version(2, 5)).changes
-        self.assertEqual([row.key for row in news.rows], ['p'])
+        update = self.copy.list_since(build_version(2, 5)).changes
+        self.assertEqual([row.key for row in update.rows], ['p'])
 
     def test_regression_entry_that_lapsed_when_it_was_accepted_stayed(self):
         self.apply_snapshot(1, 9, p=(3, self.ready))
         self.apply_changes(1, 10, p=(10, None))
         self.apply_snapshot(2, 5, p=(3, self.ready))
-        self.clock.advance(LAPSE_SECONDS)
+        self.clock.advance(EXPIRY_SECONDS)
         self.apply_changes(2, 8, p=(7, None))
         self.assertEqual(self.get_relayed_rows(), {})
 
@@ -225,6 +233,6 @@
         self.apply_changes(1, 10, p=(10, None))
         self.apply_snapshot(2, 5, p=(3, self.ready))
         self.apply_changes(2, 6, p=(6, None))
-        self.clock.advance(LAPSE_SECONDS)
+        self.clock.advance(EXPIRY_SECONDS)
         self.apply_changes(2, 7)
         self.assertEqual(self.get_relayed_rows(), {})
--- a/tests/nocover/test_fleet_relay.py
+++ b/tests/nocover/test_fleet_relay.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Tests of routers that learn of the shared tables from each other."""
+"""Tests of routers that relay the shared tables to each other."""
 
 import asyncio
 import contextlib
@@ -20,7 +20,7 @@
 from lifttrestle.errors import PlatformUnavailable
 from lifttrestle.internal.fleet.state import relay_follower
 from lifttrestle.internal.fleet.state.relay_follower import MIN_RELAYS
-from lifttrestle.internal.fleet.state.relay_follower import RANKING
+from lifttrestle.internal.fleet.state.relay_follower import RELAY_RANKING_KEY
 from lifttrestle.internal.fleet.state.relay_messages import encode_frame
 from lifttrestle.internal.fleet.state.relay_messages import read_frame
 from lifttrestle.internal.fleet.state.relay_messages import SubscribeRequest
@@ -32,17 +32,20 @@
 from tests.support.fleet import wait_until
 from tests.support.fleet_store import FleetStoreStandin
 
-# Longer than it takes three routers to list each other.
+# Longer than three routers need to discover each other.
 LATE_SECONDS = 0.25
 NAMES = ('front-a-1', 'front-a-2', 'front-a-3')
 
 
 def find_follower():
-    """Return the name of a fourth router that others read the store for."""
+    """Return the name of a fourth router that would not be a relay."""
     for number in range(100):
         name = f'front-b-{number}'
         keys = [f'router/{item}' for item in (*NAMES, name)]
-        if f'router/{name}' not in rank_names(RANKING, keys)[:MIN_RELAYS]:
+        if (
+            f'router/{name}'
+            not in rank_names(RELAY_RANKING_KEY, keys)[:MIN_RELAYS]
+        ):
             return name
     raise AssertionError('one of two is a follower')
 
@@ -52,7 +55,7 @@
 
 @contextlib.asynccontextmanager
 async def run_routers():
-    """Run three routers before one store; two of them read it."""
+    """Run three routers with one store; two of them are relays."""
     store = FleetStoreStandin()
     address = await store.start()
     store.put('op', 'config', CONFIGURATION)
@@ -65,7 +68,7 @@
         )
         relays = [item for item in routers if item.relays.is_relay()]
         (other,) = [item for item in routers if item not in relays]
-        # It may be told of the tables some time after it asked for them.
+        # The first updates may arrive some time after the request.
         await wait_until(lambda: all(item.is_ready() for item in routers))
         await wait_until(lambda: not other.relays.reads_store)
         yield store, relays, other
@@ -83,7 +86,7 @@
             await wait_until(lambda: other.catalogue.version == 9)
             self.assertFalse(other.relays.reads_store)
 
-    async def test_gauges_tell_who_reads_the_store_and_for_how_many(self):
+    async def test_gauges_show_who_reads_the_store_and_its_followers(self):
         async with run_routers() as (store, relays, other):
             await wait_until(
                 lambda: all(item.relay_server.followers for item in relays)
@@ -108,7 +111,7 @@
             store.put('op', 'config', {**CONFIGURATION, 'version': 9})
             await wait_until(lambda: other.catalogue.version == 9)
 
-    async def test_router_that_the_store_turns_away_is_told_by_others(self):
+    async def test_router_refused_by_the_store_follows_relays(self):
         async with run_routers() as (store, relays, other):
             other.store.close()
             other.store.watch_table = _refuse
@@ -117,10 +120,10 @@
             await wait_until(other.is_ready)
 
 
-class TestLateNews(unittest.IsolatedAsyncioTestCase):
+class TestLateUpdates(unittest.IsolatedAsyncioTestCase):
     async def test_follower_waits_for_relays_that_answer_late(self):
-        # A router whose relays had not answered yet was asked for its
-        # configuration by a test, and had none.
+        # A router has no configuration until its relays have responded, so
+        # ``run_routers`` must wait until all routers are ready.
         async def read_late(reader, max_bytes):
             data = await read_frame(reader, max_bytes)
             await asyncio.sleep(LATE_SECONDS)
@@ -134,7 +137,8 @@
 
 class TestStart(unittest.IsolatedAsyncioTestCase):
     async def test_router_that_starts_among_others_reads_one_table(self):
-        # Of 195 routers each read every table, and watched it once.
+        # Without relays at the start, each of 195 routers read every table
+        # and sent one watch of it.
         async with run_routers() as (store, relays, other):
             newcomer = make_router(store.address, PROMISES, NEWCOMER)
             reads = []
@@ -173,7 +177,7 @@
                 await newcomer.stop()
 
 
-class TestGarbage(unittest.IsolatedAsyncioTestCase):
+class TestInvalidData(unittest.IsolatedAsyncioTestCase):
     async def test_garbage_ends_its_own_connection_only(self):
         async with run_routers() as (store, relays, other):
             host, port = relays[0].roster.address.split(':')
@@ -220,4 +224,4 @@
 
 
 async def _refuse(table, after, wait_seconds):
-    raise PlatformUnavailable(f'turned away from {table!r}')
+    raise PlatformUnavailable(f'watch of table {table!r} refused')
--- a/tests/nocover/test_fleet_silence.py
+++ b/tests/nocover/test_fleet_silence.py
@@ -10,9 +10,10 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Open connections that go silent for good, while new ones work.
+"""Tests of open connections that become unresponsive while new ones work.
 
-Nothing is closed or reset: only a time limit of this router's own shows it.
+The connections are neither closed nor reset, so that only the timeouts of the
+router detect the failure.
 """
 
 import unittest
@@ -37,10 +38,10 @@
             answer = await fleet.call('/safe/a')
         self.assertEqual(answer.status, 200)
 
-    async def test_routers_that_go_silent_are_made_up_for_by_the_store(self):
+    async def test_follower_of_silent_relays_reads_the_store(self):
         async with run_routers() as (store, relays, other):
             for relay in relays:
-                relay.relay_server._tell = lambda follower, watch: None
+                relay.relay_server._send_update = lambda follower, watch: None
             await wait_until(lambda: other.relays.reads_store)
             store.put('op', 'config', {**CONFIGURATION, 'version': 9})
             await wait_until(lambda: other.catalogue.version == 9)
@@ -52,8 +53,9 @@
             for name in PLAIN:
                 upstream = fleet.upstreams[name]
                 upstream.silenced |= upstream.peers
-            # At most one kept connection an upstream is silent: after each
-            # has cost a request its first attempt, new ones are made.
+            # Each upstream has at most one idle connection that is silent.
+            # Each of these fails the first attempt of one request; later
+            # attempts use new connections.
             statuses = [
                 (await fleet.call('/safe/a', request_id=f'r{number}')).status
                 for number in range(CALLS)
--- a/tests/support/fleet_store.py
+++ b/tests/support/fleet_store.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""A stand-in for the platform's store, written from its published page."""
+"""A stand-in for the platform's store, based on its published interface."""
 
 import asyncio
 import base64
@@ -40,12 +40,12 @@
 class FleetStoreStandin:
     """Keeps rows in memory and serves reads, watches and writes.
 
-    :ivar rows: what it holds; a test may change it directly.
-    :ivar page_size: rows in one answer.
-    :ivar peers: the connections that calls came over.
-    :ivar silenced: those of them that are answered no more, nor closed.
-    :ivar writable: writes are carried out while it is set.
-    :ivar sends_epoch: whether answers to row calls carry the epoch header.
+    :ivar rows: the stored rows; a test may change them directly.
+    :ivar page_size: the maximum number of rows in one response.
+    :ivar peers: addresses of the connections that carried calls.
+    :ivar silenced: those of them that get no responses but stay open.
+    :ivar writable: writes wait until this is set.
+    :ivar sends_epoch: whether responses to row calls carry the epoch header.
     """
 
     def __init__(self) -> None:
@@ -66,18 +66,18 @@
         return self.address
 
     def put(self, table: str, key: str, content: object) -> int:
-        """Set a row to a JSON value and wake the watches."""
+        """Set a row to a JSON value and wake the pending watches."""
         version = self.rows.put(table, key, msgspec.json.encode(content))
         self._wake()
         return version
 
     def remove(self, table: str, key: str) -> None:
-        """Remove a row and wake the watches."""
+        """Remove a row and wake the pending watches."""
         self.rows.put(table, key, None)
         self._wake()
 
     def restore(self, snapshot: RowsSnapshot) -> None:
-        """Restore a snapshot and wake the watches."""
+        """Restore a snapshot and wake the pending watches."""
         self.rows.restore(snapshot)
         self._wake()
 
@@ -98,7 +98,7 @@
             try:
                 await self._feed(connection, query)
             except HistoryGone:
-                # The store was restored during a waiting read.
+                # The store was restored while the watch was pending.
                 connection.abort()
         elif head.path == '/rows-tx':
             await self._commit(connection, msgspec.json.decode(body))
--- a/tests/support/memory_rows.py
+++ b/tests/support/memory_rows.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""The shared tables in memory, with faults that a test switches on."""
+"""An in-memory store of the shared tables with injectable faults."""
 
 import asyncio
 import dataclasses
@@ -37,11 +37,11 @@
 
 
 class MemoryRows(RowStore):
-    """Answers at once; a watch without news returns empty.
+    """Responds immediately; a watch without changes returns no rows.
 
     :ivar down: every call fails without effect.
-    :ivar lose_answers: writes take effect and their answers are lost.
-    :ivar oldest: changes before this commit are dropped from the history.
+    :ivar lose_answers: writes take effect, but their responses are lost.
+    :ivar oldest: changes before this commit are no longer in the history.
     :ivar epoch: increases each time a snapshot is restored.
     """
 
@@ -53,7 +53,7 @@
         self._rows: dict[str, dict[str, VersionedRow]] = {}
 
     def put(self, table: str, key: str, value: bytes | None) -> int:
-        """Set a row unconditionally, as the operator does."""
+        """Set a row unconditionally and return the version of the commit."""
         self.version += 1
         row = VersionedRow(key, value, self.version)
         self._rows.setdefault(table, {})[key] = row
@@ -82,7 +82,7 @@
         return build_version(self.epoch, get_commit_number(version))
 
     def get(self, table: str, key: str) -> VersionedRow:
-        """Return a row; one that does not exist has no value."""
+        """Return a row; its value is None if it does not exist."""
         missing = VersionedRow(key, None, NO_ROW)
         row = self._rows.get(table, {}).get(key, missing)
         return missing if row.value is None else row
@@ -103,7 +103,7 @@
         if get_epoch(after) != self.epoch or after > self.version:
             raise HistoryGone('the commit is not in the history')
         if after < self.oldest:
-            raise HistoryGone('dropped')
+            raise HistoryGone('the changes are no longer in the history')
         rows = self._rows.get(table, {}).values()
         changed = [row for row in rows if row.version > after]
         changed.sort(key=lambda row: row.version)
@@ -118,7 +118,7 @@
             raise ConditionFailed((write.key,))
         version = self.put(write.table, write.key, write.value)
         if self.lose_answers:
-            raise PlatformUnavailable('the answer is lost')
+            raise PlatformUnavailable('the response was lost')
         return version
 
     def close(self) -> None:
