--- a/src/lifttrestle/internal/fleet/state/catalogue.py
+++ b/src/lifttrestle/internal/fleet/state/catalogue.py
@@ -40,7 +40,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class ServiceShare:
-    """A service that a route may use, and its share of the requests."""
+    """A service that a route may use, and its weight relative to others."""
 
     service: str
     weight: float
@@ -203,7 +203,8 @@
     def get_fetch_seconds(self, service: str) -> float | None:
         """Return the seconds to fetch the KV cache of one token.
 
-        The slowest of the links determines it; None if one is unknown.
+        The slowest link determines it. None if the size of the KV cache or
+        the bandwidth of a link is unknown.
         """
         facts = self.services.get(service)
         engine = facts.engine if facts is not None else None
--- a/src/lifttrestle/internal/fleet/state/relay_server.py
+++ b/src/lifttrestle/internal/fleet/state/relay_server.py
@@ -53,7 +53,7 @@
 
 
 class RelayServer:
-    """Sends an update to each follower after each read of a table."""
+    """Sends an update to each follower after each update of a copy."""
 
     def __init__(self, watches: list[TableWatch], clock: Clock) -> None:
         self._watches = {watch.table: watch for watch in watches}
--- a/src/lifttrestle/internal/fleet/state/rows.py
+++ b/src/lifttrestle/internal/fleet/state/rows.py
@@ -55,7 +55,7 @@
 class RowChanges:
     """All rows of a table as of one commit, or the changes up to it.
 
-    :ivar version: the newest commit that the rows include.
+    :ivar version: the newest commit that the rows reflect.
     """
 
     rows: tuple[VersionedRow, ...]
--- a/src/lifttrestle/internal/fleet/state/table_copy.py
+++ b/src/lifttrestle/internal/fleet/state/table_copy.py
@@ -85,7 +85,7 @@
     :param policy: decides which held rows are kept when the store is
         restored from an older copy; by default none.
     :ivar loaded: whether the copy has received all rows once.
-    :ivar version: the newest commit that the copy includes.
+    :ivar version: the newest commit that the copy reflects.
     :ivar current_as_of: the monotonic time up to which the copy is known to
         include all changes.
     """
