--- a/src/lifttrestle/internal/fleet/loads/engine_control.py
+++ b/src/lifttrestle/internal/fleet/loads/engine_control.py
@@ -62,7 +62,7 @@
     """What an engine says to an order."""
 
     ACCEPTED = 'accepted'
-    HOLDS = 'holds already'
+    ALREADY_LOADED = 'holds already'
     OTHER_ORDER = 'another order came between'
     FENCED = 'fenced'
     OTHER_INSTANCE = 'another instance'
--- a/src/lifttrestle/internal/fleet/loads/weights_loader.py
+++ b/src/lifttrestle/internal/fleet/loads/weights_loader.py
@@ -278,7 +278,7 @@
             orders_accepted=order.orders_accepted,
             outcome=outcome.value,
         )
-        if outcome is OrderOutcome.HOLDS:
+        if outcome is OrderOutcome.ALREADY_LOADED:
             upstream.note_weights(
                 order.model, order.version, self._clock.monotonic()
             )
--- a/src/lifttrestle/internal/platform/engine_calls.py
+++ b/src/lifttrestle/internal/platform/engine_calls.py
@@ -40,7 +40,7 @@
 # price is that such streams end on other weights than they began on.
 SWITCH_MODE = names.MODE_RETAIN
 OUTCOMES = {
-    200: OrderOutcome.HOLDS,
+    200: OrderOutcome.ALREADY_LOADED,
     202: OrderOutcome.ACCEPTED,
     400: OrderOutcome.REFUSED,
     409: OrderOutcome.OTHER_ORDER,
