--- a/src/lifttrestle/internal/fleet/loads/engine_control.py
+++ b/src/lifttrestle/internal/fleet/loads/engine_control.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Orders to and reports of engines, behind an interface."""
+"""Interface for load orders to engines and for reading their state."""
 
 import abc
 from collections.abc import Callable
@@ -20,17 +20,19 @@
 from lifttrestle.internal.fleet.policy.limit_belief import ReportedLimit
 from lifttrestle.internal.fleet.state.upstream import FleetUpstream
 
-LimitNote = Callable[[FleetUpstream, ReportedLimit, float], None]
+LimitCallback = Callable[[FleetUpstream, ReportedLimit, float], None]
 
 
 @dataclasses.dataclass(frozen=True)
 class EngineState:
-    """What an engine says of itself, some hundred milliseconds late.
-
-    :ivar born: Unix milliseconds of the start that says it, None if not told.
-    :ivar loading: it is carrying an order out.
-    :ivar orders_accepted: since its start; an order that expects another
-        number is refused, so that a late one does no harm.
+    """State that an engine reports, delayed by some hundred milliseconds.
+
+    :ivar weights: loaded version of each model.
+    :ivar loading: whether it is executing a load order.
+    :ivar orders_accepted: orders accepted since its start; an order that
+        expects another number is refused, so that a delayed order has no
+        effect.
+    :ivar born: start time in Unix milliseconds, None if not reported.
     """
 
     weights: dict[str, int]
@@ -45,10 +47,11 @@
 class LoadOrder:
     """An order to load a version of a model's weights.
 
-    The engine's runs go on under the new weights.
+    Running generations of the engine continue with the new weights.
 
-    :ivar fence: grows with each change of the lease.
-    :ivar orders_accepted: the number that the engine must have.
+    :ivar holder: router that holds the lease.
+    :ivar fence: fencing token, increases with each change of the lease.
+    :ivar orders_accepted: number that the engine must report.
     """
 
     model: str
@@ -59,7 +62,7 @@
 
 
 class OrderOutcome(enum.Enum):
-    """What an engine says to an order."""
+    """Response of an engine to a load order."""
 
     ACCEPTED = 'accepted'
     ALREADY_LOADED = 'holds already'
@@ -70,27 +73,27 @@
     UNKNOWN = 'unknown'
 
 
-def _note_nowhere(
-    engine: FleetUpstream, named: ReportedLimit, sent_at: float
+def _ignore_limit(
+    engine: FleetUpstream, reported: ReportedLimit, sent_at: float
 ) -> None:
-    """Note nothing."""
+    """Ignore what an answer reports of a limit."""
 
 
 class EngineControl(abc.ABC):
     """Calls engines; raises ``PlatformUnavailable`` without an answer.
 
-    :ivar note_limit: is told what each answer says of its engine's limit,
-        and when the call was sent.
+    :ivar note_limit: called with what each answer reports of the limit of
+        its engine, and with the time at which the call was sent.
     """
 
-    note_limit: LimitNote = staticmethod(_note_nowhere)
+    note_limit: LimitCallback = staticmethod(_ignore_limit)
 
     @abc.abstractmethod
     async def read_state(self, engine: FleetUpstream) -> EngineState:
-        """Return an engine's own report."""
+        """Return the state that an engine reports."""
 
     @abc.abstractmethod
     async def send_load(
         self, engine: FleetUpstream, order: LoadOrder
     ) -> OrderOutcome:
-        """Order an engine to load weights."""
+        """Send a load order to an engine."""
--- a/src/lifttrestle/internal/fleet/loads/load_tracking.py
+++ b/src/lifttrestle/internal/fleet/loads/load_tracking.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Follows the orders to load weights until they are carried out or lost."""
+"""Tracks load orders until they are executed or lost."""
 
 import dataclasses
 
@@ -24,30 +24,32 @@
 from lifttrestle.internal.telemetry.event_log import get_event_log
 
 LOG = get_event_log('weights')
-# A load takes 0.6 to 0.8 s; reports tell of 0.1 s before. To ask from 0.5 s
-# on, every 0.08 s, gained nothing beyond noise.
-REPORT_FIRST_SECONDS = 0.7
-REPORT_SECONDS = 0.2
-# An engine that has not loaded by then is ordered once more.
-LOAD_LIMIT_SECONDS = 4.0
+# A load takes 0.6 to 0.8 s, and reports are 0.1 s old. Polling from 0.5 s on,
+# every 0.08 s, showed no benefit beyond noise.
+FIRST_POLL_SECONDS = 0.7
+POLL_SECONDS = 0.2
+# An engine that has not loaded by then gets another order.
+LOAD_TIMEOUT_SECONDS = 4.0
 
 
 @dataclasses.dataclass
-class LoadUnderWay:
-    """An order that an engine has not yet been seen to have carried out.
+class PendingLoad:
+    """A load order that is not known to be executed; times are monotonic.
 
-    :ivar answered: it said that it took the order.
+    :ivar answered: whether the engine answered the order.
+    :ivar ordered_at: when the order was sent.
+    :ivar next_poll_at: when the state of the engine is read next.
     """
 
     upstream: FleetUpstream
     order: LoadOrder
     answered: bool
     ordered_at: float
-    ask_at: float
+    next_poll_at: float
 
 
 class LoadTracker:
-    """The loads of one model that this router has ordered."""
+    """Tracks the loads of one model that this router has ordered."""
 
     def __init__(
         self,
@@ -60,52 +62,52 @@
         self._control = control
         self._directory = directory
         self._clock = clock
-        self._loads: dict[str, LoadUnderWay] = {}
+        self._loads: dict[str, PendingLoad] = {}
 
     def __len__(self) -> int:
-        """Return how many loads are under way."""
+        """Return how many loads are pending."""
         return len(self._loads)
 
     def __contains__(self, start: object) -> bool:
-        """Return whether an engine is loading."""
+        """Return whether the load of a start is pending."""
         return start in self._loads
 
     @property
     def starts(self) -> list[str]:
-        """Return the starts of the engines that are loading."""
+        """Return the starts of the engines with a pending load."""
         return list(self._loads)
 
     def add(
         self, upstream: FleetUpstream, order: LoadOrder, answered: bool
     ) -> None:
-        """Follow an order that was just sent."""
+        """Track an order that was just sent."""
         now = self._clock.monotonic()
-        # An order that nobody answered may be lost: to find that out late
-        # leaves the engine without work for nothing.
-        pause = REPORT_FIRST_SECONDS if answered else REPORT_SECONDS
-        self._loads[upstream.start] = LoadUnderWay(
-            upstream, order, answered, now, now + pause
+        # An order without an answer may be lost. Until that is detected, the
+        # engine gets no requests although it is not loading.
+        delay = FIRST_POLL_SECONDS if answered else POLL_SECONDS
+        self._loads[upstream.start] = PendingLoad(
+            upstream, order, answered, now, now + delay
         )
 
-    async def follow(self) -> None:
-        """Ask the engines how far they are, and drop what is over."""
+    async def poll(self) -> None:
+        """Read the states of loading engines and drop finished loads."""
         for start, load in list(self._loads.items()):
             now = self._clock.monotonic()
-            if self._is_over(load, now):
+            if self._is_finished(load, now):
                 del self._loads[start]
                 continue
-            if now < load.ask_at:
+            if now < load.next_poll_at:
                 continue
-            load.ask_at = now + REPORT_SECONDS
+            load.next_poll_at = now + POLL_SECONDS
             state = await self.read_state(load.upstream)
-            if _was_lost(load, state) or self._is_over(load, now):
+            if _must_resend(load, state) or self._is_finished(load, now):
                 del self._loads[start]
 
     async def read_state(self, upstream: FleetUpstream) -> EngineState | None:
-        """Return what an engine says of itself.
+        """Return the state of an engine.
 
-        None if there is no answer, or if it is that of another start, which
-        knows nothing of what the known one was ordered.
+        None if there is no answer, or if another start answers, which has
+        not received the orders to the known one.
         """
         try:
             state = await self._control.read_state(upstream)
@@ -128,21 +130,21 @@
         upstream.note_weights(self._model, known, self._clock.monotonic())
         return state
 
-    def _is_over(self, load: LoadUnderWay, now: float) -> bool:
+    def _is_finished(self, load: PendingLoad, now: float) -> bool:
         upstream = load.upstream
         return (
             upstream.weights.get(self._model, 0) >= load.order.version
             or upstream.reach.unreached
             or self._directory.get_start(upstream.start) is None
-            or now - load.ordered_at > LOAD_LIMIT_SECONDS
+            or now - load.ordered_at > LOAD_TIMEOUT_SECONDS
         )
 
 
-def _was_lost(load: LoadUnderWay, state: EngineState | None) -> bool:
-    """Return whether an order is to be sent again.
+def _must_resend(load: PendingLoad, state: EngineState | None) -> bool:
+    """Return whether an order must be sent again.
 
-    Should it arrive after all, one of the two finds another count of orders
-    than it expects, and does nothing.
+    If it arrives after all, one of the two expects another number of accepted
+    orders than the engine has, and is refused.
     """
     return (
         state is not None
--- a/src/lifttrestle/internal/fleet/loads/weights_loader.py
+++ b/src/lifttrestle/internal/fleet/loads/weights_loader.py
@@ -10,13 +10,14 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Brings the engines to the newest weights, a few at a time.
+"""Rolls the newest weights out to the engines, a few at a time.
 
-Only the holder of a model's row gives orders. Whoever holds it keeps it; it
-passes to another router only after the row has rested so long that no order
-of the last holder can be under way. Every order carries the row's version as
-its fence and the number of orders that the engine has accepted, so that one
-that arrives late does nothing.
+Only the holder of the lease of a model sends load orders. The lease is the
+row of the model in the shared table. A holder keeps it; another router takes
+it over only after the row has been unchanged for so long that no order of the
+last holder can be in transit. Every order carries the version of the row as
+fencing token and the number of orders that the engine has accepted, so that a
+delayed order has no effect.
 """
 
 import asyncio
@@ -56,12 +57,12 @@
 
 LOG = get_event_log('weights')
 POLL_SECONDS = 0.1
-# All routers know of a batch this long after its row was written.
-STEER_SECONDS = 0.03
+# All routers have read the row of a batch within this time of its write.
+PROPAGATION_SECONDS = 0.03
 
 
 class WeightsLoader:
-    """One router's part in loading weights."""
+    """Loads weights of models whose lease this router holds."""
 
     def __init__(
         self,
@@ -88,11 +89,11 @@
         self._holder = holder
         self._needed_since: dict[str, float] = {}
         self._loads: dict[str, LoadTracker] = {}
-        # All engines held the weights when things stood like this.
-        self._complete: dict[str, tuple[int, ...]] = {}
+        # The state in which all engines of a model held its weights.
+        self._complete_states: dict[str, tuple[int, ...]] = {}
 
     async def run(self, beat: Beat) -> None:
-        """Load what is missing, for ever."""
+        """Load missing weights, forever."""
         while True:
             await beat.wait(POLL_SECONDS)
             for model in list(self._view.wanted):
@@ -105,29 +106,31 @@
                     )
 
     async def serve_model(self, model: str) -> None:
-        """Take the next step towards a model's newest weights."""
+        """Take the next step of rolling out the newest weights of a model."""
         version = self._view.wanted[model].version
-        state = self._get_state(version)
-        if self._complete.get(model) == state:
-            # Each router asks ten times a second, among all engines.
+        state = self._get_rollout_state(version)
+        if self._complete_states.get(model) == state:
+            # Skips the search of all engines, which each router would do ten
+            # times a second.
             return
         loads = self._get_loads(model)
-        await loads.follow()
+        await loads.poll()
         outdated = list_outdated(self._list_engines(model), model, version)
         now = self._clock.monotonic()
         if not outdated:
-            await self._tell_end(model)
+            await self._publish_completion(model)
             self._needed_since.pop(model, None)
-            self._complete[model] = state
+            self._complete_states[model] = state
             return
         self._needed_since.setdefault(model, now)
-        # Whoever writes in between makes the condition on this row fail.
+        # Read before the check: a write by another router in between makes
+        # the conditional write of this row fail.
         held = self._plans.get(model)
-        if self._may_act(model, held, now):
+        if self._may_order(model, held, now):
             await self._load_next(model, held, loads, outdated)
 
-    def _get_state(self, version: int) -> tuple[int, ...]:
-        """Return what decides which engines there are, and what they lack."""
+    def _get_rollout_state(self, version: int) -> tuple[int, ...]:
+        """Return the versions that decide which engines are outdated."""
         catalogue = self._view.catalogue
         configuration = catalogue.version if catalogue is not None else 0
         return version, self._directory.changes, configuration
@@ -144,15 +147,15 @@
     def _list_engines(self, model: str) -> list[FleetUpstream]:
         return list_engines(self._directory, model)
 
-    def _may_act(self, model: str, held: HeldPlan, now: float) -> bool:
+    def _may_order(self, model: str, held: HeldPlan, now: float) -> bool:
         if self._holds_lease(held):
             return True
-        return now >= self._find_turn(model, held)
+        return now >= self._find_takeover_time(model, held)
 
     def _holds_lease(self, held: HeldPlan) -> bool:
         """Return whether this router certainly holds the lease.
 
-        The holder in a restored row may be out of date: the older copy lacks
+        The holder in a restored row may be outdated, as the older copy lacks
         later takeovers.
         """
         return (
@@ -161,18 +164,18 @@
             and not held.restored
         )
 
-    def _find_turn(self, model: str, held: HeldPlan) -> float:
+    def _find_takeover_time(self, model: str, held: HeldPlan) -> float:
         holder = None
         if held.plan is not None and held.plan.holder != self._holder:
             holder = f'{ROUTER_PREFIX}{held.plan.holder}'
-        turn = LeaseState(
+        lease = LeaseState(
             needed_since=self._needed_since[model],
             held_at=held.seen_at,
             holder=holder,
             lease_seconds=self.promises.lease_seconds,
         )
         return find_takeover_time(
-            model, self._roster.routers, self._roster.key, turn
+            model, self._roster.routers, self._roster.key, lease
         )
 
     async def _load_next(
@@ -183,11 +186,11 @@
         outdated: list[FleetUpstream],
     ) -> None:
         engines = self._list_engines(model)
-        room = count_loadable(engines, self._clock.monotonic()) - len(loads)
+        allowed = count_loadable(engines, self._clock.monotonic()) - len(loads)
         version = self._view.wanted[model].version
         batch: list[tuple[FleetUpstream, EngineState]] = []
         for upstream in outdated:
-            if len(batch) >= room:
+            if len(batch) >= allowed:
                 break
             if upstream.start in loads:
                 continue
@@ -202,13 +205,13 @@
                 batch.append((upstream, state))
         if not batch:
             return
-        asked_at = self._clock.monotonic()
+        requested_at = self._clock.monotonic()
         names = [
             *loads.starts,
             *(upstream.start for upstream, _ in batch),
         ]
         fence = await self._write_plan(model, version, held, names)
-        await self._clock.sleep(STEER_SECONDS)
+        await self._clock.sleep(PROPAGATION_SECONDS)
         orders = [
             LoadOrder(
                 model,
@@ -222,7 +225,7 @@
         upstreams = [upstream for upstream, _ in batch]
         answered = await asyncio.gather(
             *(
-                self._order(upstream, order, asked_at)
+                self._send_order(upstream, order, requested_at)
                 for upstream, order in zip(upstreams, orders)
             )
         )
@@ -249,15 +252,15 @@
         self._plans.note(plan, fence)
         return fence
 
-    async def _order(
-        self, upstream: FleetUpstream, order: LoadOrder, asked_at: float
+    async def _send_order(
+        self, upstream: FleetUpstream, order: LoadOrder, requested_at: float
     ) -> bool:
         """Send an order; return whether the engine has answered it."""
-        if self._clock.monotonic() - asked_at > ORDER_SECONDS:
+        if self._clock.monotonic() - requested_at > ORDER_SECONDS:
             LOG.warning('weights.lease_ran_out', instance=upstream.instance)
             return False
         if self._directory.get_start(upstream.start) is None:
-            # What was asked of one start is no order for the next.
+            # An order to one start must not reach the next one.
             LOG.info('weights.start_gone', instance=upstream.instance)
             return False
         try:
@@ -286,8 +289,8 @@
             upstream.misdirected = True
         return outcome is not OrderOutcome.UNKNOWN
 
-    async def _tell_end(self, model: str) -> None:
-        """Tell the others that the last engines have loaded."""
+    async def _publish_completion(self, model: str) -> None:
+        """Publish to the other routers that the last engines have loaded."""
         held = self._plans.get(model)
         plan = held.plan
         if plan is None or not self._holds_lease(held) or not plan.loading:
--- a/tests/cover/test_fleet_weights.py
+++ b/tests/cover/test_fleet_weights.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Loads of new weights: one holder at a time, and late orders do no harm."""
+"""Rollout of weights: one lease holder, no effect of delayed orders."""
 
 import asyncio
 import dataclasses
@@ -54,8 +54,8 @@
 ENGINES = ('e1', 'e2', 'e3', 'e4', 'e5')
 
 
-class PassingClock(Clock):
-    """Shares one time with others; a sleep makes it pass."""
+class SleepAdvancingClock(Clock):
+    """Clock on a shared time that a sleep advances."""
 
     def __init__(self, time):
         self._time = time
@@ -71,7 +71,7 @@
 
 
 class Engines:
-    """Engines that load at once, with a record of every order."""
+    """Engines that load instantly and record every order."""
 
     def __init__(self, time):
         self._time = time
@@ -90,7 +90,7 @@
 
 
 class FakeControl(EngineControl):
-    """Reaches the engines; orders can be delayed on the way."""
+    """Calls the engines directly; orders can be delayed in transit."""
 
     def __init__(self, engines):
         self._engines = engines
@@ -114,17 +114,17 @@
 
 
 class Router:
-    """One router's loader with its own view of the shared rows."""
+    """The loader of one router with its own view of the shared rows."""
 
     def __init__(self, name, time, rows, engines, loader_class):
-        clock = PassingClock(time)
+        clock = SleepAdvancingClock(time)
         self.rows = rows
         self.control = FakeControl(engines)
         self.directory = UpstreamDirectory(PlatformFormat(), clock)
         self.view = OperatorView(PlatformFormat(), clock, 8.5)
         self.plans = WeightsView(self.directory, clock)
         self.roster = Roster(rows, clock, name, 'a')
-        self._heard = 0
+        self._version_read = 0
         for instance in ENGINES:
             entry = make_entry(models=[{'name': 'm', 'version': 1}])
             self.directory.take(
@@ -144,13 +144,13 @@
         )
 
     def hear(self):
-        """Take in what the shared table holds."""
+        """Apply the changes of the shared table."""
         if self.rows.down:
             return
         changes = asyncio.run(
-            self.rows.watch_table(FLEET_TABLE, self._heard, 0)
+            self.rows.watch_table(FLEET_TABLE, self._version_read, 0)
         )
-        self._heard = changes.version
+        self._version_read = changes.version
         for row in changes.rows:
             self.plans.take(row)
 
@@ -303,14 +303,14 @@
         self.rows.restore(snapshot)
 
 
-class HastyLoader(WeightsLoader):
-    """Planted fault: takes the lease over without waiting it out."""
+class EarlyTakeoverLoader(WeightsLoader):
+    """Planted fault: takes the lease over before it has expired."""
 
-    def _may_act(self, model, held, now):
+    def _may_order(self, model, held, now):
         return True
 
 
-class AnyEpochLoader(WeightsLoader):
+class IgnoredEpochLoader(WeightsLoader):
     """Planted fault: creates a missing row in any epoch."""
 
     async def _write_plan(self, model, version, held, loading):
@@ -318,8 +318,8 @@
         return await super()._write_plan(model, version, held, loading)
 
 
-class BlindLoader(WeightsLoader):
-    """Planted fault: judges the lease by one row and writes by another."""
+class UncheckedWriteLoader(WeightsLoader):
+    """Planted fault: checks the lease by one row and writes by another."""
 
     async def _load_next(self, model, held, loads, outdated):
         current = self._store.get(FLEET_TABLE, f'weights/{model}')
@@ -341,15 +341,15 @@
 
     def test_planted_write_in_any_epoch_is_found(self):
         with self.assertRaises(AssertionError):
-            run_machine(AnyEpochLoader, RestoredStoreMachine)
+            run_machine(IgnoredEpochLoader, RestoredStoreMachine)
 
     def test_planted_hasty_takeover_is_found(self):
         with self.assertRaises(AssertionError):
-            run_machine(HastyLoader)
+            run_machine(EarlyTakeoverLoader)
 
     def test_planted_unchecked_write_is_found(self):
         with self.assertRaises(AssertionError):
-            run_machine(BlindLoader)
+            run_machine(UncheckedWriteLoader)
 
 
 class TestSteps(unittest.TestCase):
@@ -391,8 +391,8 @@
         self.assertEqual({item.instance for item in busy}, ordered)
 
     def test_regression_router_that_lost_the_race_orders_nothing(self):
-        # Both had judged the lease free; the second then wrote over the row
-        # that the first had just written, and both gave orders.
+        # Both routers had found the lease free. The second overwrote the row
+        # that the first had just written, and both sent orders.
         first = self.make_router('a')
         second = self.make_router('b')
         for router in (first, second):
@@ -412,8 +412,8 @@
         self.assertEqual(len(holders), 1)
 
     def test_regression_routers_take_over_one_after_the_other(self):
-        # All of them wrote at the moment at which the lease had rested
-        # (own day lease2: five unanswered writes within 0.3 s).
+        # All routers wrote as soon as the lease had expired: five writes
+        # within 0.3 s got no answer.
         routers = [self.make_router(name) for name in ('a', 'b', 'c')]
         for router in routers:
             for name in ('router/a', 'router/b', 'router/c'):
@@ -425,16 +425,20 @@
         for router in routers:
             router.hear()
         held = routers[1].plans.get('m')
-        turns = sorted(
-            router.loader._find_turn('m', held) for router in routers[1:]
+        takeover_times = sorted(
+            router.loader._find_takeover_time('m', held)
+            for router in routers[1:]
         )
-        self.assertGreater(turns[0], held.seen_at + LEASE_SECONDS)
-        gaps = [after - before for before, after in zip(turns, turns[1:])]
+        self.assertGreater(takeover_times[0], held.seen_at + LEASE_SECONDS)
+        gaps = [
+            after - before
+            for before, after in zip(takeover_times, takeover_times[1:])
+        ]
         self.assertGreaterEqual(min(gaps), 0.2)
 
     def test_regression_order_without_an_answer_is_sent_again_soon(self):
-        # The engine was kept out of work for four seconds, waiting for a
-        # load that nobody had begun (scale-2 of tcpa-grid).
+        # The engine got no requests for four seconds, as the router waited
+        # for a load that had not started.
         router = self.make_router('a')
         router.name(2)
         router.control.delays = True
@@ -460,7 +464,7 @@
 
 
 class TestRestoredStore(unittest.TestCase):
-    """After a restore, two routers must not give orders within one lease."""
+    """After a restore, two routers must not send orders within one lease."""
 
     def setUp(self):
         self.time = ManualClock(START)
@@ -482,7 +486,7 @@
         return [order.holder for _, _, order in self.engines.log]
 
     def act_until_lease_expires(self, router, version):
-        """Name a version; act at once and again after the lease expires."""
+        """Request a version; act at once and again after the lease expires."""
         router.name(version)
         for seconds in (0.0, 9.0):
             self.time.advance(seconds)
@@ -565,7 +569,7 @@
 
 
 class TestComplete(unittest.TestCase):
-    """Routers look at the engines again only when something has changed."""
+    """Routers search the engines again only after a change."""
 
     def setUp(self):
         self.time = ManualClock(START)
@@ -579,7 +583,7 @@
             self.time.advance(1.0)
         self.assertEqual(set(self.engines.weights.values()), {2})
 
-    def list_engine(self, weights, **fields):
+    def put_entry(self, weights, **fields):
         entry = make_entry(
             models=[{'name': 'm', 'version': weights}], **fields
         )
@@ -599,11 +603,11 @@
         self.assertEqual(self.count_orders(), 0)
 
     def test_engine_whose_weights_went_back_is_ordered_to_load(self):
-        self.list_engine(1)
+        self.put_entry(1)
         self.assertEqual(self.count_orders(), 1)
 
     def test_new_start_with_older_weights_is_ordered_to_load(self):
-        self.list_engine(1, born=1_767_225_600_000)
+        self.put_entry(1, born=1_767_225_600_000)
         self.assertEqual(self.count_orders(), 1)
 
     def test_newer_weights_are_ordered(self):
@@ -612,7 +616,7 @@
 
 
 class TestTracking(unittest.TestCase):
-    """What becomes of orders that are lost, and of engines that are."""
+    """Lost orders and lost engines end the tracking of a load."""
 
     def setUp(self):
         self.time = ManualClock(START)
@@ -623,28 +627,28 @@
         self.control = router.control
         self.engine = router.directory.get('e1')
         self.loads = LoadTracker(
-            'm', self.control, router.directory, PassingClock(self.time)
+            'm', self.control, router.directory, SleepAdvancingClock(self.time)
         )
         self.order = LoadOrder('m', 2, 'a', 1, 0)
 
-    def _follow(self, seconds):
+    def _poll(self, seconds):
         self.time.advance(seconds)
-        asyncio.run(self.loads.follow())
+        asyncio.run(self.loads.poll())
 
     def test_regression_order_without_an_answer_is_asked_after_at_once(self):
-        # It was asked after 0.7 s, as if a load were under way, so that each
-        # lost order kept its engine waiting for 1.2 s.
+        # The engine was polled after 0.7 s, as if it were loading, so that
+        # each lost order kept it without requests for 1.2 s.
         self.loads.add(self.engine, self.order, answered=False)
-        self._follow(0.25)
+        self._poll(0.25)
         self.assertNotIn('e1', self.loads)
         self.loads.add(self.engine, self.order, answered=True)
-        self._follow(0.25)
+        self._poll(0.25)
         self.assertIn('e1', self.loads)
 
     def test_regression_engine_that_is_lost_takes_up_no_room(self):
-        # One that crashed while it loaded counted as loading for four
-        # seconds, and the others had to wait for it.
+        # An engine that crashed while loading counted as loading for four
+        # seconds, and delayed the loads of the others.
         self.loads.add(self.engine, self.order, answered=True)
         self.engine.reach.note_unreached()
-        self._follow(0.1)
+        self._poll(0.1)
         self.assertNotIn('e1', self.loads)
