--- a/src/lifttrestle/internal/fleet/parts.py
+++ b/src/lifttrestle/internal/fleet/parts.py
@@ -73,7 +73,7 @@
     usage: UsageLedger
     limits: UpstreamLimits
     note_load_change: Callable[[], None] = lambda: None
-    learn_loads: Callable[[Workspace | None], Awaitable[None]] = _know_loads
+    refresh_loads: Callable[[Workspace | None], Awaitable[None]] = _know_loads
     budgets: dict[str, SharedRetryBudget] = dataclasses.field(
         default_factory=dict
     )
--- a/src/lifttrestle/internal/fleet/path/exchange.py
+++ b/src/lifttrestle/internal/fleet/path/exchange.py
@@ -193,7 +193,7 @@
         workspace = self._context.admitted.workspace
         capped = workspace is not None and workspace.cap is not None
         if self._facts.generation is not None or capped:
-            await self._parts.learn_loads(workspace if capped else None)
+            await self._parts.refresh_loads(workspace if capped else None)
         self._context.readmit()
         self._context.charge_usage()
         placement = await find_upstream(self._context, self._candidates)
--- a/src/lifttrestle/internal/fleet/process.py
+++ b/src/lifttrestle/internal/fleet/process.py
@@ -230,7 +230,7 @@
             self._peer_loads.hear, self._peer_loads.send, metrics.count_permit
         )
         self._parts.note_load_change = self._peer_loads.note_change
-        self._parts.learn_loads = self._peer_loads.learn
+        self._parts.refresh_loads = self._peer_loads.learn
         watches = [
             self._operator_watch,
             self._upstreams_watch,
--- a/tests/nocover/test_fleet_exchange.py
+++ b/tests/nocover/test_fleet_exchange.py
@@ -449,7 +449,7 @@
             async def learn(workspace):
                 arrived.append(len(list_runs(fleet, ENGINES)))
 
-            fleet.router._parts.learn_loads = learn
+            fleet.router._parts.refresh_loads = learn
             await fleet.call('/safe/a')
             self.assertEqual(arrived, [])
             answer = await fleet.generate('text')
