--- a/tests/nocover/test_fleet_stop_soak.py
+++ b/tests/nocover/test_fleet_stop_soak.py
@@ -42,10 +42,10 @@
 import sys
 import unittest
 
-from tests.support.soak_play import Case
-from tests.support.soak_play import Outcome
-from tests.support.soak_play import play
 from tests.support.soak_records import Kind
+from tests.support.stop_soak import Case
+from tests.support.stop_soak import Outcome
+from tests.support.stop_soak import play
 
 CASES = (Case(1), Case(2), Case(3))
 GUESS = {'grace': 3.0, 'limit': 2.5, 'calm': 3.0, 'late': True}
