--- a/src/lifttrestle/internal/fleet/control_tasks.py
+++ b/src/lifttrestle/internal/fleet/control_tasks.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Work that goes on for as long as a router's process does."""
+"""Background tasks that run as long as a router process does."""
 
 import asyncio
 from collections.abc import Callable
@@ -22,26 +22,27 @@
 
 
 class ControlTasks:
-    """Begins work, and notices if some of it ends before it is told to.
+    """Starts background tasks and detects those that end prematurely.
 
-    :param tell_failed: is called then: a router without it must not go on.
-    :ivar failed: that has happened.
+    :param on_failed: called when a task fails or ends before it is
+        cancelled, as a router must not continue without it.
+    :ivar failed: whether this has happened.
     """
 
-    def __init__(self, tell_failed: Callable[[], None]) -> None:
-        self._tell_failed = tell_failed
+    def __init__(self, on_failed: Callable[[], None]) -> None:
+        self._on_failed = on_failed
         self._tasks: list[asyncio.Task[None]] = []
         self.failed = False
 
-    def begin(self, *works: Coroutine[None, None, None]) -> None:
-        """Do work that ends with the process, and never before."""
-        for work in works:
-            task = asyncio.create_task(work)
+    def start(self, *coroutines: Coroutine[None, None, None]) -> None:
+        """Start tasks that must not end before the process does."""
+        for coroutine in coroutines:
+            task = asyncio.create_task(coroutine)
             task.add_done_callback(self._note_end)
             self._tasks.append(task)
 
-    async def end(self) -> None:
-        """End all of it."""
+    async def cancel(self) -> None:
+        """Cancel all tasks and wait until they have ended."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -51,4 +52,4 @@
             return
         LOG.critical('router.control_failed', exc_info=task.exception())
         self.failed = True
-        self._tell_failed()
+        self._on_failed()
--- a/src/lifttrestle/internal/fleet/gauges.py
+++ b/src/lifttrestle/internal/fleet/gauges.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""What a router tells of itself as gauges, read when they are asked for."""
+"""Gauges of a router, read when the metrics are scraped."""
 
 from collections.abc import Callable
 import dataclasses
@@ -29,8 +29,8 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class WatchedParts:
-    """The parts of a router that gauges are read from."""
+class GaugeSources:
+    """The parts of a router that gauges read."""
 
     store: RowStore
     operator_watch: TableWatch
@@ -45,11 +45,15 @@
 
 @dataclasses.dataclass(frozen=True)
 class Gauge:
-    """One gauge's name, what it says, and how it is read."""
+    """A gauge.
+
+    :ivar text: help text.
+    :ivar read: returns the current value.
+    """
 
     name: str
     text: str
-    read: Callable[[WatchedParts], float]
+    read: Callable[[GaugeSources], float]
 
 
 GAUGES = (
@@ -113,8 +117,8 @@
 )
 
 
-def watch_parts(metrics: FleetMetrics, parts: WatchedParts) -> None:
-    """Serve every gauge of a router."""
+def register_gauges(metrics: FleetMetrics, parts: GaugeSources) -> None:
+    """Register every gauge of a router."""
     for gauge in GAUGES:
         metrics.watch(
             gauge.name, gauge.text, functools.partial(gauge.read, parts)
--- a/src/lifttrestle/internal/fleet/parts.py
+++ b/src/lifttrestle/internal/fleet/parts.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""What the exchange of a fleet router works with."""
+"""Shared components of the request path of a fleet router."""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -36,25 +36,26 @@
 from lifttrestle.internal.telemetry.fleet_metrics import FleetMetrics
 
 
-async def _know_loads(workspace: Workspace | None) -> None:
-    """Go by the loads that are known."""
+async def _skip_refresh(workspace: Workspace | None) -> None:
+    """Use the known loads without waiting for newer ones."""
 
 
 @dataclasses.dataclass
 class FleetParts:
-    """The parts of one router, built once.
+    """The components of one router, built once.
 
-    :ivar operator_watch: proves how current the view is.
-    :ivar stores: of cached context, and whether they can be reached.
-    :ivar shutdown: the order to stop, if there was one.
-    :ivar crashes: which requests must not run.
-    :ivar usage: what workspaces have left of their caps.
-    :ivar limits: what upstreams in need take.
-    :ivar note_load_change: is called when a load has changed by a lot.
-    :ivar learn_loads: is awaited before an engine is chosen; a workspace
-        whose use is to be known is passed.
-    :ivar budgets: the retry budget of each service.
-    :ivar paces: how fast the engines of each service read.
+    :ivar source: random number generator.
+    :ivar operator_watch: knows how current the operator view is.
+    :ivar stores: stores of cached context and whether they are reachable.
+    :ivar shutdown: state of a planned stop, if one was requested.
+    :ivar crashes: requests that must not run, as they crashed upstreams.
+    :ivar usage: remaining usage of workspaces under their caps.
+    :ivar limits: limits that overloaded upstreams report.
+    :ivar note_load_change: called when a load has changed considerably.
+    :ivar refresh_loads: awaited before an engine is chosen; receives the
+        workspace whose usage must be known, or None.
+    :ivar budgets: retry budget of each service.
+    :ivar paces: prefill speed of the engines of each service.
     """
 
     settings: FleetSettings
@@ -73,14 +74,16 @@
     usage: UsageLedger
     limits: UpstreamLimits
     note_load_change: Callable[[], None] = lambda: None
-    refresh_loads: Callable[[Workspace | None], Awaitable[None]] = _know_loads
+    refresh_loads: Callable[[Workspace | None], Awaitable[None]] = (
+        _skip_refresh
+    )
     budgets: dict[str, SharedRetryBudget] = dataclasses.field(
         default_factory=dict
     )
     paces: dict[str, EnginePace] = dataclasses.field(default_factory=dict)
 
     def get_pace(self, service: str) -> EnginePace:
-        """Return what is learned of the engines of a service."""
+        """Return the measured prefill speed of the engines of a service."""
         pace = self.paces.get(service)
         if pace is None:
             pace = EnginePace()
--- a/src/lifttrestle/internal/fleet/process.py
+++ b/src/lifttrestle/internal/fleet/process.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""One router process of a fleet: builds its parts, runs them, stops."""
+"""A router process of a fleet: builds, runs and stops its components."""
 
 import asyncio
 from collections.abc import Callable
@@ -26,8 +26,8 @@
 from lifttrestle.internal.fleet.control_tasks import ControlTasks
 from lifttrestle.internal.fleet.crashes.messages import CrashUpdate
 from lifttrestle.internal.fleet.crashes.tracker import CrashTracker
-from lifttrestle.internal.fleet.gauges import watch_parts
-from lifttrestle.internal.fleet.gauges import WatchedParts
+from lifttrestle.internal.fleet.gauges import GaugeSources
+from lifttrestle.internal.fleet.gauges import register_gauges
 from lifttrestle.internal.fleet.limits.memory import UpstreamLimits
 from lifttrestle.internal.fleet.loads.engine_control import EngineControl
 from lifttrestle.internal.fleet.loads.weights_loader import WeightsLoader
@@ -64,7 +64,7 @@
 from lifttrestle.internal.fleet.state.upstream import FleetUpstream
 from lifttrestle.internal.fleet.state.upstream_entry import StartEnd
 from lifttrestle.internal.fleet.state.weights_view import WeightsView
-from lifttrestle.internal.fleet.stop_sequence import stop_in_order
+from lifttrestle.internal.fleet.stop_sequence import stop_gracefully
 from lifttrestle.internal.fleet.usage.ledger import UsageLedger
 from lifttrestle.internal.http.address import Address
 from lifttrestle.internal.http.address import check_address
@@ -75,32 +75,35 @@
 from lifttrestle.internal.telemetry.fleet_metrics import FleetMetrics
 
 LOG = get_event_log('router')
-# How long the store holds a read of each table without news. The operator's
-# table proves that keys are current, so its reads are short; few routers send
-# them for all.
+# How long the store holds a long poll of each table without a change. Reads of
+# the operator table also confirm that API keys are current, so they are short;
+# few routers send them on behalf of all.
 OPERATOR_WAIT_SECONDS = 0.7
 UPSTREAMS_WAIT_SECONDS = 1.5
 ROUTERS_WAIT_SECONDS = 3.0
-# Entries change in bursts while weights are loaded. A leaving upstream may
-# get work for two seconds more, so a tenth of that is no loss.
-UPSTREAMS_REST_SECONDS = 0.2
-# An entry lapses after three missed heartbeats; the fourth allows for delay.
+# Pause between a change and the next read: entries change in bursts while
+# weights are loaded. A leaving upstream may get requests for two more seconds,
+# so a delay of a tenth of that does no harm.
+UPSTREAMS_PAUSE_SECONDS = 0.2
+# An entry lapses after three missed heartbeats; a fourth allows for delays.
 LAPSE_HEARTBEATS = 4
-# Callers reuse connections up to four fifths of the idle limit.
-IDLE_EXTRA_SECONDS = 2.0
+# Margin over the idle timeout, as callers reuse connections up to four fifths
+# of it.
+IDLE_MARGIN_SECONDS = 2.0
 MAX_CONNECTIONS = 1500
-# Between two looks at the settings file, which may change without a signal.
-SETTINGS_SECONDS = 5.0
-# Routers' rows come one after the other while a fleet starts, and each read
-# ended with one of them. It is a small part of the 3,400 to 3,800 calls that
-# 195 routers made at a start. A plan of loads, in the same table, waits for
-# this at most.
-ROUTERS_REST_SECONDS = 0.1
+# Poll interval of the settings file, which may change without a signal.
+SETTINGS_POLL_SECONDS = 5.0
+# Pause between a change and the next read: while a fleet starts, rows of
+# routers are written one after the other, and each read returned with one of
+# them. These reads are a small part of the 3,400 to 3,800 calls that 195
+# routers made at a start. Plans of weight loads, in the same table, are
+# delayed by this at most.
+ROUTERS_PAUSE_SECONDS = 0.1
 SettingsReader = Callable[[], FleetSettings | None]
 
 
 class FleetRouterProcess:
-    """A router whose configuration and upstreams are in a shared store."""
+    """A router that reads its configuration and upstreams from a store."""
 
     def __init__(
         self,
@@ -140,14 +143,14 @@
         self._operator_watch = self._make_watch(
             stored_format.operator_table,
             OPERATOR_WAIT_SECONDS,
-            self._take_operator_row,
+            self._apply_operator_row,
             policy=OperatorPolicy(stored_format),
         )
         self._upstreams_watch = self._make_watch(
             stored_format.upstreams_table,
             UPSTREAMS_WAIT_SECONDS,
-            self._take_upstream_row,
-            UPSTREAMS_REST_SECONDS,
+            self._apply_upstream_row,
+            UPSTREAMS_PAUSE_SECONDS,
             policy=UpstreamPolicy(
                 stored_format, LAPSE_HEARTBEATS * settings.heartbeat_seconds
             ),
@@ -155,9 +158,9 @@
         self._routers_watch = self._make_watch(
             FLEET_TABLE,
             ROUTERS_WAIT_SECONDS,
-            self._take_routers_row,
-            ROUTERS_REST_SECONDS,
-            # It names the routers that can be asked for the others.
+            self._apply_routers_row,
+            ROUTERS_PAUSE_SECONDS,
+            # It lists the routers that can serve reads of the other tables.
             eager=True,
         )
         self.roster.get_proved_at = lambda: self._routers_watch.proved_at
@@ -238,8 +241,8 @@
         ]
         self.relay_server = RelayServer(watches, clock)
         self.relays = RelayFollower(watches, self.roster, clock)
-        # A router that does not know yet what is held would run it, and one
-        # that knows no limits would send what upstreams do not take.
+        # Before it knows the held requests, a router would run them; before
+        # it knows the limits, it would exceed those of upstreams.
         self._ready = ReadinessHandler(
             self._parts,
             lambda: (
@@ -249,9 +252,9 @@
         self._callers = HttpServer(
             RequestHandler(self._parts).handle, _make_limits(None)
         )
-        watch_parts(
+        register_gauges(
             self._parts.metrics,
-            WatchedParts(
+            GaugeSources(
                 self.store,
                 self._operator_watch,
                 self.roster,
@@ -291,22 +294,22 @@
             policy=policy,
         )
 
-    def _take_operator_row(self, row: VersionedRow) -> None:
+    def _apply_operator_row(self, row: VersionedRow) -> None:
         before = self._view.catalogue
         self._view.take(row)
         after = self._view.catalogue
         if after is not None and after is not before:
             self._callers.set_limits(_make_limits(after))
 
-    def _take_upstream_row(self, row: VersionedRow) -> None:
+    def _apply_upstream_row(self, row: VersionedRow) -> None:
         watch = self._upstreams_watch
         if watch.lost or row.origin is not RowOrigin.WRITTEN:
-            # The first rows after an outage or a restore: what lapsed or is
-            # lost may yet return.
+            # The first rows after an outage or a restore: entries that have
+            # lapsed or are lost may still return.
             self._directory.outage_until = self._clock.monotonic()
         self._directory.take(row)
 
-    def _take_routers_row(self, row: VersionedRow) -> None:
+    def _apply_routers_row(self, row: VersionedRow) -> None:
         self.roster.loaded = True
         self.roster.take(row)
         self._weights.take(row)
@@ -317,18 +320,18 @@
         self.limits.forget(upstream)
 
     def _get_caps(self) -> dict[int, UsageCap]:
-        """Return the caps in force by the digests of their workspaces."""
+        """Return the caps in force, keyed by the digest of the workspace."""
         catalogue = self._view.catalogue
         return catalogue.caps if catalogue is not None else {}
 
     def _is_list_current(self) -> bool:
-        """Return whether an entry that has ended would be known to have."""
+        """Return whether the end of an entry would already be known."""
         watch = self._upstreams_watch
         return watch.get_age() < 2 * UPSTREAMS_WAIT_SECONDS
 
     @property
     def directory(self) -> UpstreamDirectory:
-        """Return the upstreams that the router knows."""
+        """Return the directory of known upstreams."""
         return self._directory
 
     def get_budget(self, service: str) -> SharedRetryBudget:
@@ -342,12 +345,12 @@
 
     @property
     def catalogue(self) -> Catalogue | None:
-        """Return the configuration in force, None before the first."""
+        """Return the configuration in force, None before the first one."""
         return self._view.catalogue
 
     @property
     def busy(self) -> int:
-        """Return how many requests of callers are being served."""
+        """Return the number of requests of callers in progress."""
         return self._callers.busy
 
     @property
@@ -356,38 +359,38 @@
         return self._parts.settings
 
     def request_reload(self) -> None:
-        """Have the settings read again at once."""
+        """Request an immediate reload of the settings."""
         self._reload.set()
 
     def is_ready(self) -> bool:
         """Return whether requests can be served."""
         return self._ready.is_ready()
 
-    async def run(self, *beside: Coroutine[None, None, None]) -> bool:
-        """Serve until a signal or a fault; return whether all went well.
+    async def run(self, *extra: Coroutine[None, None, None]) -> bool:
+        """Serve until a signal or a fault.
 
-        It did if no control task failed, and if every request was ended.
-
-        :param beside: further work for as long as the process serves.
+        :param extra: further control tasks to run while the process serves.
+        :return: whether no control task failed and every request was ended.
         """
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self._stop.set)
         loop.add_signal_handler(signal.SIGHUP, self.request_reload)
         await self.start()
-        self._control.begin(*beside)
+        self._control.start(*extra)
         await self._stop.wait()
-        whole = await self.stop()
-        return whole and not self._control.failed
+        all_ended = await self.stop()
+        return all_ended and not self._control.failed
 
     async def follow_settings(self, read: SettingsReader) -> None:
-        """Apply the settings whenever they change, for ever.
+        """Apply the settings whenever they change, forever.
 
-        They change with a signal or without; requests go on as they are.
+        They are read after SIGHUP and periodically; requests in progress
+        continue.
         """
         while True:
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(SETTINGS_SECONDS):
+                async with asyncio.timeout(SETTINGS_POLL_SECONDS):
                     await self._reload.wait()
             self._reload.clear()
             settings = read()
@@ -401,7 +404,7 @@
             LOG.info('router.settings_applied', vm=settings.vm)
 
     async def start(self) -> None:
-        """Listen, and begin to follow the shared tables."""
+        """Open the listeners and start the control tasks."""
         settings = self._settings
         self.callers_address = await self._callers.start(
             check_address(settings.callers_address)
@@ -413,7 +416,7 @@
             peers = await self.relay_server.start(
                 check_address(settings.peers_address)
             )
-            # Loads are told by datagrams to the same address.
+            # Load reports are received as datagrams on the same address.
             await self._peer_loads.start(peers)
             self.roster.address = str(peers)
         if settings.metrics_address:
@@ -426,7 +429,7 @@
         )
         prober = ReachProber(self._directory, self.stores, self._clock)
         prober.tell_probed = self.crashes.losses.note_probed
-        self._control.begin(
+        self._control.start(
             self.relays.run(self.beat),
             self._operator_watch.run(),
             self._upstreams_watch.run(),
@@ -441,17 +444,17 @@
         )
 
     async def stop(self) -> bool:
-        """Stop in the order that cuts no request; return if none was cut."""
-        whole = await stop_in_order(self._parts, self._callers)
+        """Stop gracefully; return whether every request was ended."""
+        all_ended = await stop_gracefully(self._parts, self._callers)
         await self._probes.stop(0)
         await self._metrics.stop(0)
-        await self._control.end()
+        await self._control.cancel()
         self._peer_loads.close()
         await self.relay_server.close()
         self._directory.close()
         self.stores.close()
         self.store.close()
-        return whole
+        return all_ended
 
 
 def _make_limits(catalogue: Catalogue | None) -> HttpLimits:
@@ -462,6 +465,6 @@
         head_bytes=limits.head_bytes,
         body_bytes=limits.body_bytes,
         head_seconds=limits.head_seconds,
-        idle_seconds=limits.idle_seconds + IDLE_EXTRA_SECONDS,
+        idle_seconds=limits.idle_seconds + IDLE_MARGIN_SECONDS,
         max_connections=MAX_CONNECTIONS,
     )
--- a/src/lifttrestle/internal/fleet/settings.py
+++ b/src/lifttrestle/internal/fleet/settings.py
@@ -17,27 +17,34 @@
 
 @dataclasses.dataclass(frozen=True)
 class StoreSettings:
-    """Where the shared tables are."""
+    """Address of the store of the shared tables."""
 
     address: str
 
 
 @dataclasses.dataclass(frozen=True)
 class Promises:
-    """What the operators are promised, in seconds and shares.
+    """Guarantees to the operators; times in seconds.
 
-    :ivar drain_seconds: within which a leaving upstream gets no more work.
-    :ivar grace_seconds: from the order to stop until the process is killed.
-    :ivar revoke_seconds: after which a key that was taken away never works.
-    :ivar retry_share: retries of all routers together, by request.
-    :ivar retry_window_seconds: over which retries are counted.
-    :ivar retry_slack: retries allowed in a window whatever the traffic.
-    :ivar lease_seconds: that must pass between the orders of two holders.
-    :ivar weights_seconds: after which no request may begin on old weights.
-    :ivar cap_window_seconds: over which the use of a workspace is counted.
-    :ivar cap_over_share: of what a window may hold by the cap, what it may
-        hold beyond.
-    :ivar cap_slack: units that it may hold beyond that.
+    :ivar drain_seconds: time within which a leaving upstream stops getting
+        requests.
+    :ivar grace_seconds: time from the stop signal until the process is
+        killed.
+    :ivar revoke_seconds: time after which a revoked API key is never
+        accepted.
+    :ivar retry_share: maximum number of retries per request, over all
+        routers.
+    :ivar retry_window_seconds: window in which retries are counted.
+    :ivar retry_slack: retries allowed in a window regardless of traffic.
+    :ivar lease_seconds: minimum time between the orders of two holders of a
+        lease.
+    :ivar weights_seconds: time after which no request may start on old
+        weights.
+    :ivar cap_window_seconds: window in which the usage of a workspace is
+        counted.
+    :ivar cap_over_share: tolerated excess over the cap in a window, as a
+        fraction of the cap.
+    :ivar cap_slack: units tolerated in addition to that.
     """
 
     drain_seconds: float = 2.0
@@ -55,10 +62,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class FleetSettings:
-    """One router's place and addresses.
+    """Location and addresses of one router.
 
-    :ivar peers_address: where it hears from the other routers.
-    :ivar heartbeat_seconds: between two signs of life of an upstream.
+    :ivar peers_address: address for connections and datagrams of the other
+        routers.
+    :ivar heartbeat_seconds: heartbeat interval of an upstream.
     """
 
     vm: str
--- a/src/lifttrestle/internal/fleet/stall_watch.py
+++ b/src/lifttrestle/internal/fleet/stall_watch.py
@@ -10,20 +10,20 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Tells when the process stood still: a frozen VM leaves no other trace."""
+"""Logs pauses of the process: a suspended VM leaves no other trace."""
 
 from lifttrestle.internal.clock.beat import Beat
 from lifttrestle.internal.telemetry.event_log import get_event_log
 
 LOG = get_event_log('router')
-LOOK_SECONDS = 0.5
-# A loaded router wakes some tens of ms late.
+POLL_SECONDS = 0.5
+# Timers of a loaded router fire some tens of milliseconds late.
 STALL_SECONDS = 0.5
 
 
 async def watch_stalls(beat: Beat) -> None:
-    """Tell of each time that the process did not run, for ever."""
+    """Log each time that the process was not running, forever."""
     while True:
-        late = await beat.wait(LOOK_SECONDS)
+        late = await beat.wait(POLL_SECONDS)
         if late >= STALL_SECONDS:
             LOG.warning('router.stood_still', seconds=round(late, 3))
--- a/src/lifttrestle/internal/fleet/stop_sequence.py
+++ b/src/lifttrestle/internal/fleet/stop_sequence.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""The order in which a router of a fleet stops, so that no request is cut."""
+"""Graceful stop of a fleet router, in an order that cuts no request."""
 
 import asyncio
 
@@ -21,21 +21,22 @@
 from lifttrestle.internal.telemetry.event_log import get_event_log
 
 LOG = get_event_log('router')
-# After the order to stop the balancer sends new connections until it was
-# refused twice, which it asks once a second: for two seconds, and a half for a
-# question that is late.
+# After the stop signal, the load balancer sends new connections until two
+# health checks have failed. It checks once a second: two seconds, plus half a
+# second for a late check.
 NOTICE_SECONDS = 2.5
-# And never longer than this share of the time there is.
+# Upper limit of the notice, as a fraction of the grace period.
 NOTICE_SHARE = 0.5
 MILLISECONDS = 1000
 
 
-async def stop_in_order(parts: FleetParts, callers: HttpServer) -> bool:
+async def stop_gracefully(parts: FleetParts, callers: HttpServer) -> bool:
     """Stop serving callers; return whether every request was ended.
 
-    What is taken meanwhile has to end in what is left (policy.stopping). All
-    steps share the one deadline of ``parts.shutdown``, and none waits for the
-    store: the router's row is removed beside the last requests.
+    Requests accepted meanwhile must end in the remaining time
+    (policy.stopping). All steps share the deadline of ``parts.shutdown``, and
+    none waits for the store: the row of the router is removed concurrently
+    with the last requests.
     """
     shutdown = parts.shutdown
     grace = parts.settings.promises.grace_seconds
@@ -46,14 +47,14 @@
     await parts.clock.sleep(min(NOTICE_SECONDS, grace * NOTICE_SHARE))
     LOG.info(
         'router.closing',
-        after_ms=_get_passed_ms(shutdown),
+        after_ms=_get_elapsed_ms(shutdown),
         requests=callers.busy,
     )
     leaving = asyncio.create_task(_leave(parts.roster))
-    whole = await callers.stop(
+    all_ended = await callers.stop(
         shutdown.get_cut_left(), shutdown.get_flush_seconds()
     )
-    whole = whole and not shutdown.given_up
+    all_ended = all_ended and not shutdown.given_up
     await asyncio.wait({leaving}, timeout=shutdown.get_leave_seconds())
     if not leaving.done():
         LOG.warning('router.row_left', reason='the store did not answer')
@@ -62,21 +63,21 @@
     await asyncio.gather(ending, leaving, return_exceptions=True)
     LOG.info(
         'router.stopped',
-        after_ms=_get_passed_ms(shutdown),
-        every_request_ended=whole,
+        after_ms=_get_elapsed_ms(shutdown),
+        every_request_ended=all_ended,
         cut=callers.cut,
         given_up=shutdown.given_up,
     )
-    return whole
+    return all_ended
 
 
 async def _leave(roster: Roster) -> None:
-    """Leave the roster; whatever goes wrong there holds nothing up."""
+    """Leave the roster; errors are logged and do not delay the stop."""
     try:
         await roster.leave()
     except Exception:
         LOG.exception('router.row_left', reason='see the error')
 
 
-def _get_passed_ms(shutdown: Shutdown) -> int:
+def _get_elapsed_ms(shutdown: Shutdown) -> int:
     return round(shutdown.get_passed() * MILLISECONDS)
--- a/tests/cover/test_stall_watch.py
+++ b/tests/cover/test_stall_watch.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""A process that did not run for a while says so when it wakes."""
+"""A process that was not running for a while logs it when it resumes."""
 
 import asyncio
 import datetime
@@ -18,7 +18,7 @@
 
 from lifttrestle.internal.clock.beat import Beat
 from lifttrestle.internal.clock.manual import ManualClock
-from lifttrestle.internal.fleet.stall_watch import LOOK_SECONDS
+from lifttrestle.internal.fleet.stall_watch import POLL_SECONDS
 from lifttrestle.internal.fleet.stall_watch import STALL_SECONDS
 from lifttrestle.internal.fleet.stall_watch import watch_stalls
 
@@ -29,23 +29,23 @@
     def run_for(self, *pauses):
         async def run():
             clock = ManualClock(START)
-            watching = asyncio.create_task(watch_stalls(Beat(clock)))
+            task = asyncio.create_task(watch_stalls(Beat(clock)))
             for pause in pauses:
                 await asyncio.sleep(0)
                 clock.advance(pause)
                 await asyncio.sleep(0)
             await asyncio.sleep(0)
-            watching.cancel()
-            await asyncio.gather(watching, return_exceptions=True)
+            task.cancel()
+            await asyncio.gather(task, return_exceptions=True)
 
         asyncio.run(run())
 
     def test_freeze_is_told_with_its_length(self):
         with self.assertLogs('lifttrestle.router', 'WARNING') as logs:
-            self.run_for(LOOK_SECONDS, LOOK_SECONDS + 4.0, LOOK_SECONDS)
+            self.run_for(POLL_SECONDS, POLL_SECONDS + 4.0, POLL_SECONDS)
         (record,) = logs.records
         self.assertEqual(record.fields, {'seconds': 4.0})
 
     def test_late_wake_is_not_told(self):
         with self.assertNoLogs('lifttrestle.router', 'WARNING'):
-            self.run_for(LOOK_SECONDS + 0.9 * STALL_SECONDS, LOOK_SECONDS)
+            self.run_for(POLL_SECONDS + 0.9 * STALL_SECONDS, POLL_SECONDS)
