--- a/tests/cover/test_suspension.py
+++ b/tests/cover/test_suspension.py
@@ -174,7 +174,7 @@
         async def work(machine, fleet):
             upstream = FleetUpstreamStandin('p1')
             await upstream.start()
-            fleet.list_upstream('plain', upstream)
+            fleet.put_upstream('plain', upstream)
             router = fleet.router
             await wait_until(lambda: router.directory.get('p1'))
             known = router.directory.get('p1')
@@ -192,7 +192,7 @@
             upstream = FleetUpstreamStandin('p1')
             upstream.script.append(Behaviour.SILENT)
             await upstream.start()
-            fleet.list_upstream('plain', upstream)
+            fleet.put_upstream('plain', upstream)
             await wait_until(lambda: fleet.router.directory.get('p1'))
             calling = asyncio.create_task(fleet.call('/open/a'))
             await wait_until(lambda: upstream.runs)
--- a/tests/nocover/test_fleet_exchange.py
+++ b/tests/nocover/test_fleet_exchange.py
@@ -379,7 +379,7 @@
     async def test_leaving_upstream_gets_no_more_work(self):
         async with run_fleet() as fleet:
             leaving = fleet.upstreams['p1']
-            fleet.list_upstream('plain', leaving, state='draining')
+            fleet.put_upstream('plain', leaving, state='draining')
             known = fleet.router.directory.get('p1')
             await wait_until(lambda: known.entry.draining)
             for number in range(8):
--- a/tests/nocover/test_store_return.py
+++ b/tests/nocover/test_store_return.py
@@ -80,7 +80,7 @@
             await asyncio.sleep(1.0)
             store.restore(snapshot)
             store.put('op', 'config', build_configuration(9))
-            fleet.list_upstream(
+            fleet.put_upstream(
                 'plain', fleet.upstreams['p1'], state='draining'
             )
             # The commit number exceeds the one that routers hold before they
@@ -130,14 +130,14 @@
         async with run_fleet() as fleet:
             snapshot = fleet.store.rows.take_snapshot()
             upstream = fleet.upstreams['p1']
-            fleet.list_upstream('plain', upstream, state='draining')
+            fleet.put_upstream('plain', upstream, state='draining')
             await restore_snapshot(fleet.store, snapshot)
             for number in range(20):
                 answer = await fleet.call('/safe/x', request_id=f'r{number}')
                 self.assertEqual(answer.status, 200)
             self.assertEqual(len(upstream.arrivals), 0)
             # An entry that is written after the restore is accepted.
-            fleet.list_upstream('plain', upstream)
+            fleet.put_upstream('plain', upstream)
             self.assertTrue(
                 await holds_within(
                     lambda: (
@@ -154,7 +154,7 @@
             fleet.store.remove('servers', upstream.instance)
             await restore_snapshot(fleet.store, snapshot)
             self.assertIsNone(fleet.router.directory.get('p1'))
-            fleet.list_upstream('plain', upstream)
+            fleet.put_upstream('plain', upstream)
             self.assertTrue(
                 await holds_within(
                     lambda: fleet.router.directory.get('p1') is not None,
@@ -167,7 +167,7 @@
             fleet.store.remove('servers', 'p1')
             await asyncio.sleep(0.5)
             snapshot = fleet.store.rows.take_snapshot()
-            fleet.list_upstream('plain', fleet.upstreams['p1'])
+            fleet.put_upstream('plain', fleet.upstreams['p1'])
             await asyncio.sleep(0.5)
             fleet.store.restore(snapshot)
             await asyncio.sleep(0.8)
--- a/tests/support/fleet.py
+++ b/tests/support/fleet.py
@@ -151,7 +151,7 @@
         """Put another configuration in force."""
         self.store.put('op', 'config', {**CONFIGURATION, **fields})
 
-    def list_upstream(
+    def put_upstream(
         self, service: str, upstream: FleetUpstreamStandin, **fields: object
     ) -> None:
         """Write an upstream's entry."""
@@ -185,7 +185,7 @@
     for name, upstream in upstreams.items():
         await upstream.start()
         service = 'plain' if name.startswith('p') else 'engines'
-        fleet.list_upstream(service, upstream)
+        fleet.put_upstream(service, upstream)
     fleet.configure()
     await router.start()
     await wait_until(lambda: len(list(router.directory)) == len(upstreams))
--- a/tests/support/limited_fleet.py
+++ b/tests/support/limited_fleet.py
@@ -132,7 +132,7 @@
     for number, upstream in enumerate(named.values()):
         await upstream.start()
         zone = DATA_CENTRES[number % len(DATA_CENTRES)]
-        fleet.view(0).list_upstream('plain', upstream, zone=zone)
+        fleet.view(0).put_upstream('plain', upstream, zone=zone)
     store.put('op', 'config', CONFIGURATION)
     # Background tasks of a router end with its stop().
     for router in fleet.routers:
