--- a/tests/nocover/test_fleet_stop.py
+++ b/tests/nocover/test_fleet_stop.py
@@ -10,18 +10,18 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""A planned stop of a router of a fleet, with real sockets.
-
-What users saw: callers of a router that was told to stop got the beginning of
-a stream and then a closed connection. Order of events: the signal, at 0 s; a
-request for a stream is taken, up to 3.0 s later, and sent to an engine, which
-makes it more slowly than ever the grace allows; at 7.4 s the router cuts it.
-Cause: what was left of the grace decided nothing, neither whether a request
-was taken nor how one ended that was still without an answer at the end.
-Evidence: nine of twelve planned stops cut something, 56 requests in all. All
-cuts came 7.42 s after the signal; engines had sent an event 11 to 359 ms
-before each of 61 cuts of a second run, 34 of those requests were taken after
-the signal; and it was so without any processor time as well.
+"""A planned stop of a fleet router cuts no request; uses real sockets.
+
+Guards against streams that are cut after their beginning. A router accepted
+requests up to 3.0 s after the stop signal, sent them to an engine that needed
+longer than the grace period, and cut them at its end, after 7.4 s. The
+remaining grace period must decide whether a request is accepted, and how one
+that has no answer at its end is answered.
+
+Nine of twelve planned stops cut 56 requests in all, each 7.42 s after the
+signal. In a second run, 34 of 61 cut requests had been accepted after the
+signal, and engines had sent an event 11 to 359 ms before each cut, so they
+were still generating. It happened without any processor time as well.
 """
 
 import asyncio
@@ -51,18 +51,18 @@
     b'POST /once/a HTTP/1.1\r\nHost: shop.example\r\nRequest-Id: r1\r\n'
     b'Authorization: Token k1\r\nContent-Length: 10\r\n\r\n12345'
 )
-# Longer than any step of these tests takes, and shorter than a view of the
-# configuration is good for.
+# Longer than any step of these tests, and shorter than the time for which a
+# view of the configuration stays valid.
 GRACE_SECONDS = 3.0
-# Limits of requests: within what is left of that, and beyond it.
+# Deadlines of requests: within the remaining grace period, and beyond it.
 SHORT_MS = 1000
 LONG_MS = 5000
-# The routes' timeout.
+# Timeout of the routes.
 ROUTE_SECONDS = 8.0
 
 
-def hold_streams(fleet: Fleet) -> None:
-    """Have every stream stand still after its second event."""
+def stall_streams(fleet: Fleet) -> None:
+    """Stall every stream after its second event."""
     for name in ENGINES:
         fleet.upstreams[name].released.clear()
 
@@ -80,7 +80,7 @@
 
 
 def find_events(logs, name: str) -> list[dict[str, object]]:
-    """Return the fields of the events of one name."""
+    """Return the fields of the log events with a name."""
     return [item.fields for item in logs.records if item.msg == name]
 
 
@@ -94,17 +94,17 @@
         except ConnectionRefusedError:
             return
         except ConnectionResetError:
-            # Taken by the listener's queue just before it closed.
+            # Was in the accept queue when the listener closed.
             continue
         writer.close()
         await asyncio.sleep(POLL_SECONDS)
 
 
-class TestSight(unittest.IsolatedAsyncioTestCase):
+class TestCutStream(unittest.IsolatedAsyncioTestCase):
     async def test_stream_that_the_stop_cuts_is_told_as_cut(self) -> None:
         with self.assertLogs('lifttrestle', 'INFO') as logs:
             async with run_fleet() as fleet:
-                hold_streams(fleet)
+                stall_streams(fleet)
                 stream = asyncio.create_task(fleet.generate('text'))
                 await wait_until(lambda: count_runs(fleet) == 1)
                 self.assertFalse(await fleet.router.stop())
@@ -122,12 +122,12 @@
         self.assertEqual(count, 1.0)
 
 
-class TestTakenWhileStopping(unittest.IsolatedAsyncioTestCase):
+class TestRequestsWhileStopping(unittest.IsolatedAsyncioTestCase):
     async def test_regression_stream_that_may_not_end_in_time_is_refused(
         self,
     ) -> None:
         async with run_fleet() as fleet:
-            hold_streams(fleet)
+            stall_streams(fleet)
             stopping = asyncio.create_task(fleet.router.stop())
             await wait_until(lambda: not fleet.router.is_ready())
             answer = await fleet.generate('text')
@@ -140,8 +140,8 @@
     async def test_regression_one_turned_away_while_stopping_is_asked_again(
         self,
     ) -> None:
-        # The first engine turned the request away, and it was sent to the
-        # second without a look at what was left by then.
+        # The first engine declined the request, and it was sent to the second
+        # one without regard to the time that remained.
         promises = dataclasses.replace(PROMISES, grace_seconds=GRACE_SECONDS)
         async with run_fleet(promises) as fleet:
             stopping = asyncio.create_task(fleet.router.stop())
@@ -149,7 +149,7 @@
             for name in ENGINES:
                 fleet.upstreams[name].script.append(Behaviour.DECLINE)
             call = asyncio.create_task(fleet.generate('text', SHORT_MS))
-            # Both have turned it away; it is held for a moment, then sent.
+            # Both have declined it; it is queued briefly, then sent again.
             await wait_until(lambda: count_arrivals(fleet) == 2)
             fleet.clock.skip(GRACE_SECONDS)
             answer = await call
@@ -170,7 +170,7 @@
     async def call_while_stopping(self, limit_ms: int) -> Answer:
         promises = dataclasses.replace(PROMISES, grace_seconds=GRACE_SECONDS)
         async with run_fleet(promises) as fleet:
-            # Short ones before it tell nothing of this one.
+            # Short requests before this one must not predict its length.
             for _ in range(WARM_UP):
                 await fleet.call('/safe/a')
             fleet.clock.skip(ROUTE_SECONDS)
@@ -190,7 +190,7 @@
         )
 
     async def call_silent(self, fleet: Fleet, path: str) -> asyncio.Task:
-        """Send a request that runs and gets no answer."""
+        """Send a request that runs but gets no answer."""
         for name in PLAIN:
             fleet.upstreams[name].script.append(Behaviour.SILENT)
         call = asyncio.create_task(fleet.call(path, method='POST'))
@@ -203,7 +203,7 @@
         with self.assertLogs('lifttrestle', 'INFO') as logs:
             async with run_fleet(self.promises) as fleet:
                 call = await self.call_silent(fleet, '/once/a')
-                # Nothing is cut, and yet a request was not served.
+                # Nothing is cut, but a request was not served.
                 self.assertFalse(await fleet.router.stop())
                 answer = await call
         self.assertEqual(answer.status, 502)
@@ -271,15 +271,15 @@
     async def test_regression_failed_control_task_is_no_clean_end(
         self,
     ) -> None:
-        # The process stopped in order and exited with 0, as if it had been
-        # told to.
+        # The process stopped gracefully and exited with 0, as after a
+        # signal.
         with mock.patch.object(self.router.relays, 'run', fail):
             await self.expect_no_clean_end()
 
     async def test_regression_control_task_that_ends_is_no_clean_end(
         self,
     ) -> None:
-        # Without it the router went on, with what that task kept growing old.
+        # The router continued without the task, on data that became stale.
         with mock.patch.object(self.router.relays, 'run', end_early):
             await self.expect_no_clean_end()
 
--- a/tests/nocover/test_fleet_stop_found.py
+++ b/tests/nocover/test_fleet_stop_found.py
@@ -10,12 +10,12 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Faults of planned stops that the soak found, each as small as it gets.
+"""Minimal reproductions of faults of planned stops that the soak found.
 
-The soak (``test_fleet_stop_soak --regressions``) showed what users saw: a
-request that was taken after the signal and then cut, a kept connection that
-was closed in place of an answer, and a process that ended by a signal though
-it had served everything.
+The soak (``test_fleet_stop_soak --regressions``) found a request that was
+accepted after the stop signal and then cut, a keep-alive connection that was
+closed instead of an answer, and a process that was terminated by a signal
+although it had served all requests.
 """
 
 import asyncio
@@ -35,11 +35,11 @@
 from tests.support.soak_records import Record
 from tests.support.soak_router import SoakRouter
 
-# More streams than it takes to know how long they last, all of them short.
+# More streams than an estimate of their duration needs, all of them short.
 WARM_UP = 20
 ROUTE_SECONDS = 8.0
-# Half of it is the notice, in which connections are kept.
-NOTICED_SECONDS = 4.0
+# Half of it is the notice period, in which connections are kept open.
+LONG_GRACE_SECONDS = 4.0
 GRACE_SECONDS = 0.4
 READ_SECONDS = 0.2
 ENGINES = ('e1', 'e2')
@@ -56,14 +56,14 @@
 POLL_SECONDS = 0.005
 
 
-class TestGuess(unittest.IsolatedAsyncioTestCase):
+class TestDurationEstimate(unittest.IsolatedAsyncioTestCase):
     async def test_regression_stream_longer_than_those_before_is_not_cut(
         self,
     ) -> None:
         async with run_fleet() as fleet:
             for _ in range(WARM_UP):
                 await fleet.generate('essay')
-            # From now on the router knows how long the route's streams last.
+            # Now the router has an estimate of the duration of the streams.
             fleet.clock.skip(ROUTE_SECONDS)
             await wait_until(fleet.router.is_ready)
             for name in ENGINES:
@@ -75,9 +75,11 @@
         self.assertEqual(answer.status, 503)
 
 
-class TestKeptConnection(unittest.IsolatedAsyncioTestCase):
+class TestKeepAlive(unittest.IsolatedAsyncioTestCase):
     async def test_regression_request_sent_ahead_is_answered(self) -> None:
-        async with run_fleet(Promises(grace_seconds=NOTICED_SECONDS)) as fleet:
+        async with run_fleet(
+            Promises(grace_seconds=LONG_GRACE_SECONDS)
+        ) as fleet:
             for name in ENGINES:
                 fleet.upstreams[name].released.clear()
             address = fleet.router.callers_address
@@ -88,7 +90,7 @@
             await reader.readuntil(b'token 2')
             stopping = asyncio.create_task(fleet.router.stop())
             await wait_until(lambda: not fleet.router.is_ready())
-            # The first answer's head did not say that it is the last one.
+            # The head of the first answer did not announce the close.
             writer.write(PLAIN)
             await asyncio.sleep(READ_SECONDS)
             for name in ENGINES:
@@ -100,8 +102,8 @@
         self.assertIn(b'HTTP/1.1 ', answers)
 
 
-# Each signal comes in the moment in which the loop has given its handler up.
-SIGNALLED_BETWEEN = """
+# Each signal arrives just after the event loop has removed its handler.
+SIGNAL_BETWEEN_HANDLERS = """
 import asyncio
 import os
 import signal
@@ -141,12 +143,12 @@
 
     def test_regression_signal_between_two_handlers(self) -> None:
         done = subprocess.run(
-            [sys.executable, '-c', SIGNALLED_BETWEEN], check=False
+            [sys.executable, '-c', SIGNAL_BETWEEN_HANDLERS], check=False
         )
         self.assertEqual(done.returncode, 0)
 
     async def stop_with(self, number: signal.Signals) -> int:
-        """Stop an idle router, and go on sending signals until it is gone."""
+        """Stop an idle router, and send signals until it has exited."""
         store = FleetStoreStandin()
         address = await store.start()
         store.put('op', 'config', CONFIGURATION)
--- a/tests/nocover/test_fleet_stop_soak.py
+++ b/tests/nocover/test_fleet_stop_soak.py
@@ -10,28 +10,30 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""A soak of planned stops: real router processes, killed after their grace.
-
-Routers are told to stop, in series or at once, paused, hung up on, killed and
-started again at the same address, before a store that is slow or does not
-answer writes, while callers send plain requests and streams over kept and new
-connections. What callers and upstreams saw is judged by ``soak_rules``:
-
-a. what was taken after the signal ends whole or is refused as not run;
-b. what was refused as not run ran nowhere, and nothing runs twice that may
-   run once only;
-c. streams are whole, in order, once, and one that was cut never looks whole;
-d. a router that nobody paused exits within its grace, with 0 if it cut
-   nothing and gave nothing up, and with 1 if it did;
-e. what was taken before the signal is given up only when the grace is over.
-
-The seed decides the plan, not the machine's timing. More seeds by hand, from
-``--first`` on and up to ``--at-once`` at the same time; the exit code is 1 if
-a rule was broken::
+"""Soak of planned stops: router processes that are killed after their grace.
+
+Routers are stopped one by one or concurrently, paused, sent SIGHUP, killed
+and started again at the same address, with a store that is slow or does not
+answer writes, while callers send plain requests and streams over keep-alive
+and new connections. ``soak_rules`` checks what callers and upstreams observed:
+
+a. a request accepted after the signal completes or is refused as not run;
+b. a request refused as not run ran nowhere, and a request that may run only
+   once never runs twice;
+c. streams are complete, in order and without duplicates, and a cut stream is
+   never taken for a complete one;
+d. a router that was not paused exits within its grace period, with 0 if it
+   neither cut nor gave up a request, else with 1;
+e. a request accepted before the signal is given up only at the end of the
+   grace period.
+
+The seed determines the scenario, but not the timing of the machine. To run
+more seeds, from ``--first`` on and up to ``--at-once`` concurrently; the exit
+code is 1 if a rule was broken::
 
     python -m tests.nocover.test_fleet_stop_soak --seeds 50
 
-``--regressions`` plays the cases that broke a rule once.
+``--regressions`` runs the cases that broke a rule before.
 """
 
 import argparse
@@ -45,63 +47,64 @@
 from tests.support.soak_records import Kind
 from tests.support.stop_soak import Case
 from tests.support.stop_soak import Outcome
-from tests.support.stop_soak import play
+from tests.support.stop_soak import run_case
 
 CASES = (Case(1), Case(2), Case(3))
-GUESS = {'grace': 3.0, 'limit': 2.5, 'calm': 3.0, 'late': True}
+ESTIMATED = {'grace': 3.0, 'limit': 2.5, 'calm': 3.0, 'late': True}
 REGRESSIONS = (
-    # Were taken after the signal by a guess from what the route's latest
-    # requests had lasted, and cut; 101 also as 110. In 103 a SIGHUP came while
-    # the interpreter ended, and ended the process.
-    Case(101, **GUESS),
-    Case(103, **GUESS),
-    Case(109, **GUESS),
-    Case(111, **GUESS),
-    Case(115, **GUESS),
-    # A kept connection was closed in the notice, after an answer that had
-    # begun before the signal and so did not say that it was the last one.
-    Case(110, **GUESS),
+    # Requests were accepted after the signal because of an estimate from the
+    # duration of the latest requests of the route, and cut; 101 also failed as
+    # 110 did. In 103 a SIGHUP during the exit of the interpreter terminated
+    # the process.
+    Case(101, **ESTIMATED),
+    Case(103, **ESTIMATED),
+    Case(109, **ESTIMATED),
+    Case(111, **ESTIMATED),
+    Case(115, **ESTIMATED),
+    # A keep-alive connection was closed in the notice period, after an answer
+    # that had begun before the signal and so did not announce the close.
+    Case(110, **ESTIMATED),
 )
 SHOWN_FAULTS = 10
 SHOWN_LINES = 40
 
 
-def tell_faults(outcome: Outcome) -> str:
-    """Return the seed, the breaches, and what led to them."""
+def format_faults(outcome: Outcome) -> str:
+    """Return the case, its broken rules and the events before them."""
     lines = [f'{outcome.case}', *outcome.faults[:SHOWN_FAULTS]]
-    lines.append(f'{len(outcome.faults)} in all; what the driver did:')
+    lines.append(f'{len(outcome.faults)} in all; actions of the driver:')
     lines.extend(outcome.record.story)
     for name, log in outcome.logs.items():
         if any(f' {name} ' in fault for fault in outcome.faults):
-            told = [line for line in log if '"router.' in line]
-            lines += [f'log of {name}:', *told[-SHOWN_LINES:]]
+            events = [line for line in log if '"router.' in line]
+            lines += [f'log of {name}:', *events[-SHOWN_LINES:]]
     return '\n'.join(lines)
 
 
-def tell_figures(outcome: Outcome) -> str:
-    """Return what the seed's traffic came to."""
+def format_outcome(outcome: Outcome) -> str:
+    """Return a one-line summary of an outcome."""
     record = outcome.record
     kinds = collections.Counter(
         str(item.status) if item.kind is Kind.WHOLE else item.kind.value
         for item in record.tries
     )
     served = count_served_late(outcome)
-    let_run = [life for life in record.lives if not life.paused]
-    ends = [
+    not_paused = [life for life in record.lives if not life.paused]
+    times = [
         life.exited - life.signalled
-        for life in let_run
+        for life in not_paused
         if life.exited and life.signalled
     ]
     return (
-        f'seed {outcome.case.seed}: {len(outcome.faults)} breaches, stops'
-        f' {len(record.lives)}, not paused {len(ends)}, the slowest of these'
-        f' {max(ends, default=0.0):.3f} s, served though sent after the'
+        f'seed {outcome.case.seed}: {len(outcome.faults)} broken rules, stops'
+        f' {len(record.lives)}, not paused {len(times)}, the slowest of these'
+        f' {max(times, default=0.0):.3f} s, served but sent after the'
         f' signal {served}, {dict(sorted(kinds.items()))}'
     )
 
 
 def count_served_late(outcome: Outcome) -> int:
-    """Return how many were served that came after their router's signal."""
+    """Return the number of served requests sent after the stop signal."""
     return sum(
         item.good and item.began > item.life.announced
         for item in outcome.record.tries
@@ -120,34 +123,34 @@
             )
 
     async def expect_no_faults(self, cases: Sequence[Case]) -> None:
-        """Play some cases at the same time."""
-        outcomes = await asyncio.gather(*(play(case) for case in cases))
+        """Run some cases concurrently."""
+        outcomes = await asyncio.gather(*(run_case(case) for case in cases))
         for outcome in outcomes:
             with self.subTest(case=outcome.case):
                 if outcome.faults:
-                    self.fail(tell_faults(outcome))
+                    self.fail(format_faults(outcome))
                 self.assertGreater(count_served_late(outcome), 0)
 
 
-async def play_by_hand(cases: Sequence[Case], at_once: int) -> int:
-    """Play cases, print what came of each; return how many broke a rule."""
-    gate = asyncio.Semaphore(at_once)
+async def run_cases(cases: Sequence[Case], at_once: int) -> int:
+    """Run cases, print each outcome; return how many broke a rule."""
+    semaphore = asyncio.Semaphore(at_once)
 
-    async def play_one(case: Case) -> bool:
-        async with gate:
-            outcome = await play(case)
-        print(tell_figures(outcome), flush=True)
+    async def run_one(case: Case) -> bool:
+        async with semaphore:
+            outcome = await run_case(case)
+        print(format_outcome(outcome), flush=True)
         if outcome.faults:
-            print(tell_faults(outcome), flush=True)
+            print(format_faults(outcome), flush=True)
         return bool(outcome.faults)
 
-    broken = await asyncio.gather(*(play_one(case) for case in cases))
+    broken = await asyncio.gather(*(run_one(case) for case in cases))
     print(f'{sum(broken)} of {len(cases)} seeds broke a rule')
     return sum(broken)
 
 
 def main() -> int:
-    """Play the cases that the command line asks for."""
+    """Run the cases that the command line selects."""
     parser = argparse.ArgumentParser()
     parser.add_argument('--seeds', type=int, default=50)
     parser.add_argument('--first', type=int, default=1)
@@ -165,7 +168,7 @@
         fields = dataclasses.fields(Case)[1:]
         rest = [getattr(options, field.name) for field in fields]
         cases = [Case(seed, *rest) for seed in seeds]
-    return int(asyncio.run(play_by_hand(cases, options.at_once)) > 0)
+    return int(asyncio.run(run_cases(cases, options.at_once)) > 0)
 
 
 if __name__ == '__main__':
--- a/tests/support/fleet.py
+++ b/tests/support/fleet.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""A router of a fleet in this process, with stand-ins around it."""
+"""A fleet router in this process with stand-ins for store and upstreams."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -44,7 +44,7 @@
 
 
 def make_route(name: str, route_type: str, **fields: object) -> dict:
-    """Return a route as the operator writes it; its prefix is its name."""
+    """Return a route in the format of the operator; its prefix is its name."""
     return {
         'name': name,
         'host': 'shop.example',
@@ -93,7 +93,7 @@
 
 @dataclasses.dataclass
 class Fleet:
-    """The router and what surrounds it."""
+    """The router, its store and its upstreams."""
 
     store: FleetStoreStandin
     router: FleetRouterProcess
@@ -110,7 +110,7 @@
         headers: tuple[Header, ...] = (),
         request_id: str = 'r1',
     ) -> Answer:
-        """Send one request over a connection of its own."""
+        """Send one request over a new connection."""
         connection = await ClientConnection.open(
             self.router.callers_address, WAIT_SECONDS
         )
@@ -133,7 +133,7 @@
     async def generate(
         self, route: str, wait_ms: int = 0, **fields: object
     ) -> Answer:
-        """Ask for a text of an engine."""
+        """Request a text from an engine."""
         headers = (
             ('model', 'm'),
             ('token-count', '460,5'),
@@ -154,7 +154,7 @@
     def put_upstream(
         self, service: str, upstream: FleetUpstreamStandin, **fields: object
     ) -> None:
-        """Write an upstream's entry."""
+        """Write the entry of an upstream to the store."""
         entry = make_entry(
             service=service, address=str(upstream.address), slots=8, **fields
         )
@@ -165,7 +165,7 @@
 
 
 async def wait_until(condition: object) -> None:
-    """Return once a condition holds."""
+    """Wait until a condition holds, up to WAIT_SECONDS."""
     async with asyncio.timeout(WAIT_SECONDS):
         while not condition():  # type: ignore[operator]
             await asyncio.sleep(0.005)
@@ -173,7 +173,7 @@
 
 @contextlib.asynccontextmanager
 async def run_fleet(promises: Promises = PROMISES) -> AsyncIterator[Fleet]:
-    """Run a router before two plain upstreams and two engines."""
+    """Run a router with two plain upstreams and two engines."""
     store = FleetStoreStandin()
     address = await store.start()
     upstreams = {
@@ -206,7 +206,7 @@
     clock: Clock | None = None,
     data_centre: str = 'a',
 ) -> FleetRouterProcess:
-    """Return a router that uses a store."""
+    """Return a router that uses the store at an address."""
     clock = clock or SystemClock()
     settings = FleetSettings(
         vm=vm,
--- a/tests/support/stop_soak.py
+++ b/tests/support/stop_soak.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""One play of a soak: routers, stand-ins, callers, stops and a bad store."""
+"""Soak of planned stops with callers, stand-ins and a faulty store."""
 
 import asyncio
 import dataclasses
@@ -38,14 +38,16 @@
 
 @dataclasses.dataclass(frozen=True)
 class Case:
-    """What a play depends on.
-
-    :ivar limit: the timeout of the routes whose requests may outlast the
-        grace; a router that served for longer guesses how long they last.
-    :ivar calm: seconds for which each router serves, at least.
-    :ivar late: send further signals up to the end of the grace.
-    :ivar slack: seconds that a router has to exit in after its grace; wide,
-        so that a busy machine is not taken for a fault.
+    """Settings of a soak run; times are in seconds.
+
+    :ivar grace: grace period of the routers.
+    :ivar limit: timeout of the routes whose requests may outlast the grace
+        period; a router that has served for longer estimates their duration.
+    :ivar calm: minimum time for which each router serves.
+    :ivar late: whether to send further signals up to the end of the grace
+        period.
+    :ivar slack: time for a router to exit after its grace period; generous,
+        so that a busy machine does not count as a fault.
     """
 
     seed: int
@@ -58,7 +60,7 @@
 
 @dataclasses.dataclass
 class Outcome:
-    """What came of a play."""
+    """Outcome of a soak run."""
 
     case: Case
     record: Record
@@ -67,7 +69,7 @@
 
 
 def make_routes(limit: float) -> list[dict]:
-    """Return the routes, two of them with a timeout that is always short."""
+    """Return the routes; two of them always have a short timeout."""
     long = {'timeout_ms': limit * 1000, 'max_attempts': 1}
     short = {'timeout_ms': SHORT_SECONDS * 1000}
     stream = {**long, 'service': 'engines'}
@@ -83,7 +85,7 @@
 
 
 def choose_wish(source: random.Random, limit: float) -> Wish:
-    """Return what a caller asks for next."""
+    """Return the next request of a caller."""
     route = source.choice(('safe', 'once', 'late', 'text', 'text', 'essay'))
     if route in ('safe', 'once'):
         pause = source.choice((0.0, 0.02, 0.1, 0.3, 0.5))
@@ -93,13 +95,13 @@
         return Wish(route, limit, 0, pause)
     events = source.randint(1, 40)
     pause = source.choice((0.002, 0.01, 0.05, 0.12))
-    hurried = source.random() < 0.3
-    wait = events * pause * 1.5 + 0.3 if hurried else 0.0
+    has_deadline = source.random() < 0.3
+    wait = events * pause * 1.5 + 0.3 if has_deadline else 0.0
     return Wish(route, limit, events, pause, wait)
 
 
-class SoakPlay:
-    """Plays the seed's stops before the seed's traffic."""
+class StopSoak:
+    """Stops routers under traffic; both are determined by the seed."""
 
     def __init__(self, case: Case, folder: pathlib.Path) -> None:
         self._case = case
@@ -117,11 +119,11 @@
         return random.Random(f'{self._case.seed}/{name}')
 
     async def run(self) -> Outcome:
-        """Play, and judge what was seen."""
+        """Run the case and check what was observed."""
         record = self._record
         try:
             await self._set_up()
-            await self._play()
+            await self._run_traffic()
         finally:
             for router in self._routers:
                 router.kill()
@@ -163,32 +165,32 @@
             self._routers.append(router)
         await asyncio.gather(*(router.start() for router in self._routers))
 
-    async def _play(self) -> None:
+    async def _run_traffic(self) -> None:
         series = self._get_source('series').random() < 0.4
-        gate = asyncio.Semaphore(1 if series else len(self._routers))
+        semaphore = asyncio.Semaphore(1 if series else len(self._routers))
         async with asyncio.TaskGroup() as tasks:
             tasks.create_task(self._disturb_store())
             for number in range(CALLERS):
                 tasks.create_task(self._send(f'c{number}'))
             stops = [
-                self._stop_often(router, 1 if series else 2, gate)
+                self._restart_repeatedly(router, 1 if series else 2, semaphore)
                 for router in self._routers
             ]
             await asyncio.gather(*stops)
-            # The last ones stop while callers still call.
+            # The last stops take place while callers still send requests.
             await asyncio.gather(*(router.stop() for router in self._routers))
             self._done.set()
 
-    async def _stop_often(
-        self, router: SoakRouter, turns: int, gate: asyncio.Semaphore
+    async def _restart_repeatedly(
+        self, router: SoakRouter, count: int, semaphore: asyncio.Semaphore
     ) -> None:
         source = self._get_source(f'stops of {router.name}')
-        for _ in range(turns):
+        for _ in range(count):
             calm = self._case.calm + source.uniform(0.0, 1.3)
             await asyncio.sleep(calm)
             if source.random() < 0.3:
                 router.signal(signal.SIGHUP)
-            async with gate:
+            async with semaphore:
                 await router.stop()
                 await asyncio.sleep(source.uniform(0.0, 0.3))
                 await router.start()
@@ -209,7 +211,7 @@
         while not self._done.is_set():
             await rest(self._done, source.uniform(0.3, 2.0))
             if source.random() < 0.5:
-                self._record.tell('the store answers no writes')
+                self._record.tell('the store does not answer writes')
                 self._store.writable.clear()
             else:
                 self._record.tell('the store is slow')
@@ -218,10 +220,10 @@
             await rest(self._done, source.uniform(0.5, 2.5))
             self._store.writable.set()
             self._store.server.faults = Faults()
-            self._record.tell('the store is well')
+            self._record.tell('the store has recovered')
 
 
-async def play(case: Case) -> Outcome:
-    """Play one case."""
+async def run_case(case: Case) -> Outcome:
+    """Run one case."""
     with tempfile.TemporaryDirectory() as folder:
-        return await SoakPlay(case, pathlib.Path(folder)).run()
+        return await StopSoak(case, pathlib.Path(folder)).run()
