--- a/src/lifttrestle/internal/fleet/gauges.py
+++ b/src/lifttrestle/internal/fleet/gauges.py
@@ -120,6 +120,6 @@
 def register_gauges(metrics: FleetMetrics, parts: GaugeSources) -> None:
     """Register every gauge of a router."""
     for gauge in GAUGES:
-        metrics.watch(
+        metrics.add_gauge(
             gauge.name, gauge.text, functools.partial(gauge.read, parts)
         )
--- a/src/lifttrestle/internal/fleet/path/sending.py
+++ b/src/lifttrestle/internal/fleet/path/sending.py
@@ -133,7 +133,7 @@
         seconds = heard_at - sent_at
         chosen.upstream.note_first_byte(ticket, heard_at)
         self._report_load(chosen)
-        self._parts.metrics.time_first_byte(
+        self._parts.metrics.observe_first_byte(
             request.service, seconds, chosen.expected_seconds
         )
         if not self.answered_fields:
--- a/src/lifttrestle/internal/telemetry/fleet_metrics.py
+++ b/src/lifttrestle/internal/telemetry/fleet_metrics.py
@@ -119,7 +119,7 @@
         """Count a send by whether its connection was a kept one."""
         self._connections.labels(service, 'kept' if kept else 'new').inc()
 
-    def time_first_byte(
+    def observe_first_byte(
         self, service: str, seconds: float, expected_seconds: float
     ) -> None:
         """Record how long an upstream took to begin its answer.
@@ -130,7 +130,9 @@
         error = seconds - expected_seconds
         self._expectation_error.labels(service).observe(error)
 
-    def watch(self, name: str, text: str, read: Callable[[], float]) -> None:
+    def add_gauge(
+        self, name: str, text: str, read: Callable[[], float]
+    ) -> None:
         """Serve a gauge whose value is read when it is asked for."""
         gauge = prometheus_client.Gauge(
             f'{PREFIX}_{name}', text, registry=self.registry
--- a/tests/cover/test_statsd_feed.py
+++ b/tests/cover/test_statsd_feed.py
@@ -55,7 +55,7 @@
         self.assertEqual(self.read(), [])
 
     def test_gauges_are_sent_as_they_are(self):
-        self.metrics.watch('live', 'Routers.', lambda: 8.0)
+        self.metrics.add_gauge('live', 'Routers.', lambda: 8.0)
         name = 'lifttrestle.live'
         for _ in range(2):
             self.assertEqual(self.read(), [f'{name}:8.0|g'])
