--- a/src/lifttrestle/internal/telemetry/decision.py
+++ b/src/lifttrestle/internal/telemetry/decision.py
@@ -10,16 +10,16 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""One routing decision with its outcome, for the log."""
+"""Record of one routing decision and its outcome."""
 
 import dataclasses
 
 
 @dataclasses.dataclass
 class Decision:
-    """What was decided, why, what was expected and what was seen.
+    """The chosen upstream, the reason, and expected and observed costs.
 
-    Times are in seconds and lengths in tokens. It never holds prompt text.
+    Durations are in seconds, lengths in tokens. It never holds prompt text.
     """
 
     request_id: str
--- a/src/lifttrestle/internal/telemetry/decisions.py
+++ b/src/lifttrestle/internal/telemetry/decisions.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Writes one log line for each routing decision."""
+"""Logs routing decisions, one line each."""
 
 import logging
 
@@ -21,10 +21,10 @@
 
 
 class DecisionLog:
-    """The line says who, where, why, and the expected and observed cost."""
+    """Logs requests with their upstream, reason and costs."""
 
     def write(self, decision: Decision) -> None:
-        """Log a decision whose outcome is known."""
+        """Log a decision after its request has ended."""
         LOG.info(
             'routing: request=%s workspace=%s data_centre=%s target=%s'
             ' upstream=%s reason="%s" expected_ms=%.1f observed_ms=%.1f'
--- a/src/lifttrestle/internal/telemetry/event_log.py
+++ b/src/lifttrestle/internal/telemetry/event_log.py
@@ -10,11 +10,11 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Structured events: what was decided or believed, and from which inputs.
+"""Structured log events: decisions, state changes and their inputs.
 
-An event has a name of the form ``subject.happened`` and fields. It passes
-through the standard library's loggers, so that tests and other programs can
-take it in as any log record.
+An event has a name of the form ``subject.happened`` and fields. It is a
+record of the standard library's loggers, so that tests and other programs
+can handle it like any log record.
 """
 
 import logging
@@ -22,39 +22,43 @@
 
 ROOT = 'lifttrestle'
 FIELDS = 'fields'
-# Marks a record that no rate may leave out.
-WHOLE = 'whole'
+# Attribute of records that the rate limit does not apply to.
+RATE_EXEMPT = 'whole'
 
 
 class EventLog:
-    """Tells the events of one part of the program.
+    """Logs the events of one component.
 
-    The standard library's loggers do all that is needed: a library over them
-    took 0.02 of the 0.45 s of processor time in which a router's modules load.
+    It uses the standard library's loggers only: a logging library on top of
+    them took 0.02 of the 0.45 s of CPU time that importing a router's modules
+    takes.
+
+    The keyword ``whole=True`` of a method exempts the event from the rate
+    limit; it is not a field of the event.
     """
 
     def __init__(self, logger: logging.Logger) -> None:
         self._logger = logger
 
     def debug(self, event: str, **fields: object) -> None:
-        """Tell what helps to understand the program itself."""
-        self._tell(logging.DEBUG, event, fields)
+        """Log an event that helps to debug the program."""
+        self._log(logging.DEBUG, event, fields)
 
     def info(self, event: str, **fields: object) -> None:
-        """Tell what happens in the usual course."""
-        self._tell(logging.INFO, event, fields)
+        """Log an event of normal operation."""
+        self._log(logging.INFO, event, fields)
 
     def warning(self, event: str, **fields: object) -> None:
-        """Tell what an operator may have to look after."""
-        self._tell(logging.WARNING, event, fields)
+        """Log an event that may need an operator's attention."""
+        self._log(logging.WARNING, event, fields)
 
     def error(self, event: str, **fields: object) -> None:
-        """Tell what went wrong."""
-        self._tell(logging.ERROR, event, fields)
+        """Log a failure."""
+        self._log(logging.ERROR, event, fields)
 
     def exception(self, event: str, **fields: object) -> None:
-        """Tell what went wrong, with the trace of the exception at hand."""
-        self._tell(logging.ERROR, event, fields, sys.exception())
+        """Log a failure with the traceback of the current exception."""
+        self._log(logging.ERROR, event, fields, sys.exception())
 
     def critical(
         self,
@@ -63,21 +67,21 @@
         exc_info: BaseException | None = None,
         **fields: object,
     ) -> None:
-        """Tell what ends the process, with the trace of an exception."""
-        self._tell(logging.CRITICAL, event, fields, exc_info)
+        """Log what ends the process, with the traceback of ``exc_info``."""
+        self._log(logging.CRITICAL, event, fields, exc_info)
 
-    def _tell(
+    def _log(
         self,
         level: int,
         event: str,
         fields: dict[str, object],
         exc_info: BaseException | None = None,
     ) -> None:
-        whole = fields.pop(WHOLE, False)
-        extra = {FIELDS: fields, WHOLE: whole}
+        is_exempt = fields.pop(RATE_EXEMPT, False)
+        extra = {FIELDS: fields, RATE_EXEMPT: is_exempt}
         self._logger.log(level, event, extra=extra, exc_info=exc_info)
 
 
 def get_event_log(name: str) -> EventLog:
-    """Return the log for events of one part of the program."""
+    """Return the event log of one component."""
     return EventLog(logging.getLogger(f'{ROOT}.{name}'))
--- a/src/lifttrestle/internal/telemetry/event_sink.py
+++ b/src/lifttrestle/internal/telemetry/event_sink.py
@@ -10,12 +10,12 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Writes events to a stream, bounded in rate and never in the way.
+"""Writes events to a stream, rate-limited and without blocking.
 
-Each kind of event has a rate; what is over it is left out and counted, and a
-summary tells how many. Lines wait in memory until the reader of the stream
-has room for them, and what is too much is dropped and counted. The event loop
-never waits.
+Events of one name above the rate limit are suppressed and counted; a summary
+event reports the counts. Lines are buffered in memory until the reader of the
+stream accepts them; lines beyond the buffer limit are dropped and counted.
+The event loop never blocks on the stream.
 """
 
 import collections
@@ -28,25 +28,26 @@
 from lifttrestle.internal.clock.beat import Beat
 from lifttrestle.internal.clock.clock import Clock
 from lifttrestle.internal.telemetry.event_log import FIELDS
+from lifttrestle.internal.telemetry.event_log import RATE_EXEMPT
 from lifttrestle.internal.telemetry.event_log import ROOT
-from lifttrestle.internal.telemetry.event_log import WHOLE
 from lifttrestle.internal.telemetry.line_output import LineOutput
 
-# Events of one kind a second, and at once. A router of the known deployments
-# serves some 20 requests a second; ten times that is logged in full.
+# Rate limit of the events of one name: events per second and burst size. A
+# router of the known deployments serves about 20 requests a second; ten times
+# that rate is logged in full.
 RATE = 200.0
 BURST = 400.0
 SUMMARY_SECONDS = 10.0
 CLOSE_SECONDS = 0.3
-# Lines of a running process come together for this long; one that is killed
-# loses the last ones.
-COLLECT_SECONDS = 0.1
+# Lines are buffered for this long, so that one write takes several of them. A
+# process that is killed loses the lines of the last interval.
+FLUSH_SECONDS = 0.1
 
 
 class EventSink(logging.Handler):
-    """Formats events as JSON lines and writes them.
+    """Writes events as JSON lines.
 
-    :param vm: stands in each line.
+    :param vm: name of this machine, a field of each line.
     """
 
     def __init__(self, stream: TextIO, clock: Clock, vm: str) -> None:
@@ -55,38 +56,40 @@
         self._clock = clock
         self._vm = vm
         self._buckets: dict[str, TokenBucket] = {}
-        self._left_out: collections.Counter[str] = collections.Counter()
+        self._suppressed: collections.Counter[str] = collections.Counter()
         self._summary_at = clock.monotonic() + SUMMARY_SECONDS
-        self._collects = False
+        self._is_buffering = False
 
     @property
     def dropped(self) -> int:
-        """Return how many lines were not written since the last summary."""
+        """Return how many lines were dropped since the last summary."""
         return self._output.dropped
 
-    async def run(self, beat: Beat) -> None:
-        """Let lines come together, and write them now and then, for ever."""
-        self._collects = True
+    async def run(self, ticker: Beat) -> None:
+        """Buffer lines and write them periodically, until cancelled."""
+        self._is_buffering = True
         try:
             while True:
-                await beat.wait(COLLECT_SECONDS)
+                await ticker.wait(FLUSH_SECONDS)
                 self._output.flush()
         finally:
-            self._collects = False
+            self._is_buffering = False
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Take an event, or leave it out."""
+        """Write an event, or suppress it if it exceeds the rate limit."""
         now = self._clock.monotonic()
         if now >= self._summary_at:
             self._summarize(now)
-        if not getattr(record, WHOLE, False) and not self._admit(record, now):
-            self._left_out[record.msg] += 1
+        if not getattr(record, RATE_EXEMPT, False) and not self._admit(
+            record, now
+        ):
+            self._suppressed[record.msg] += 1
             return
-        self._put(self._encode(record))
+        self._write_line(self._encode(record))
 
     def close(self) -> None:
-        """Write what waits, but do not wait for a reader that stopped."""
-        if self._left_out or self._output.dropped:
+        """Write the buffered lines, waiting briefly for a stalled reader."""
+        if self._suppressed or self._output.dropped:
             self._summarize(self._clock.monotonic())
         self._output.flush(CLOSE_SECONDS)
         super().close()
@@ -115,31 +118,31 @@
     def _summarize(self, now: float) -> None:
         self._summary_at = now + SUMMARY_SECONDS
         dropped = self._output.dropped
-        if not self._left_out and not dropped:
+        if not self._suppressed and not dropped:
             return
         summary = {
             'at': self._clock.now(),
             'vm': self._vm,
             'level': 'warning',
             'event': 'log.left_out',
-            'over_rate': dict(self._left_out),
+            'over_rate': dict(self._suppressed),
             'dropped': dropped,
         }
-        self._left_out.clear()
+        self._suppressed.clear()
         self._output.dropped = 0
-        self._put(msgspec.json.encode(summary).decode())
+        self._write_line(msgspec.json.encode(summary).decode())
 
-    def _put(self, line: str) -> None:
+    def _write_line(self, line: str) -> None:
         self._output.put(line)
-        if not self._collects:
+        if not self._is_buffering:
             self._output.flush()
 
 
 def start_event_sink(
     stream: TextIO, clock: Clock, vm: str, level: str
 ) -> EventSink:
-    """Send the package's events from ``level`` up to a stream."""
-    # Nothing tells these; the first one is a system call a record.
+    """Write the package's events of at least ``level`` to a stream."""
+    # No line contains these; logProcesses costs a system call per record.
     logging.logProcesses = False
     logging.logThreads = False
     logging.logMultiprocessing = False
--- a/src/lifttrestle/internal/telemetry/explanation.py
+++ b/src/lifttrestle/internal/telemetry/explanation.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Finds the story of one request in the logs of many machines."""
+"""Explains one request from the logs of all routers."""
 
 from collections.abc import Iterable
 import dataclasses
@@ -21,32 +21,37 @@
 
 from lifttrestle.internal.telemetry.log_lines import Line
 from lifttrestle.internal.telemetry.log_lines import read_logs
-from lifttrestle.internal.telemetry.log_lines import REQUEST
-
-# What a router came to believe this long before a request may explain it.
-BEFORE = datetime.timedelta(seconds=5)
-AFTER = datetime.timedelta(seconds=1)
-# Events of a router's beliefs; those of upstreams count if they were chosen.
-BELIEFS = ('view.', 'watch.', 'weights.', 'roster.', 'router.', 'log.')
-UPSTREAM = 'upstream.'
-# Events of limits name the start of an upstream, and hold for long.
-LIMIT = 'limit.'
-# Events of a request by its digest, which may be of another try of it, and as
-# old as the hold that they tell of.
-SAME_REQUEST = ('crash.', 'hold.')
-# Fields that each line has and the story does not repeat.
-FRAME = ('at', 'vm', 'level', 'event', 'request', 'after_ms')
+from lifttrestle.internal.telemetry.log_lines import REQUEST_PREFIX
+
+# Events on the state of a router explain a request if they are from this long
+# before its arrival until this long after its end.
+CONTEXT_BEFORE = datetime.timedelta(seconds=5)
+CONTEXT_AFTER = datetime.timedelta(seconds=1)
+# Events about the state that a router knows.
+STATE_EVENTS = ('view.', 'watch.', 'weights.', 'roster.', 'router.', 'log.')
+# Relevant if they are about an upstream that was chosen.
+UPSTREAM_EVENTS = 'upstream.'
+# They name the start of an upstream. A limit may be much older than the
+# request that it explains.
+LIMIT_EVENTS = 'limit.'
+# They identify a request by its digest, so that they may come from another
+# attempt at it, and they may be as old as the hold that they report.
+DIGEST_EVENTS = ('crash.', 'hold.')
+# Fields of each line that the timeline does not repeat.
+OMITTED_FIELDS = ('at', 'vm', 'level', 'event', 'request', 'after_ms')
 
 
 class UnknownRequest(Exception):
-    """No line of the logs is about the request."""
+    """No line of the logs refers to the request."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Explanation:
-    """A request's events and what its router believed around them.
+    """The events of a request and the state that explains them.
 
-    :ivar broken: lines that could not be read.
+    :ivar steps: events of the request, by router and time.
+    :ivar beliefs: events on the state of its routers that may explain it.
+    :ivar broken: number of lines that could not be parsed.
     """
 
     request_id: str
@@ -56,9 +61,10 @@
 
 
 def explain(request_id: str, paths: Iterable[pathlib.Path]) -> Explanation:
-    """Return the story of a request.
+    """Return the explanation of a request.
 
-    :raises UnknownRequest: if no line is about it.
+    :raises UnknownRequest: if no line refers to it.
+    :raises OSError: if a file can't be read.
     """
     logs = read_logs(paths)
     lines = logs.lines
@@ -68,17 +74,17 @@
     )
     if not steps:
         raise UnknownRequest(
-            f'no line is about request {request_id!r}; {len(lines)} events'
-            f' were read, {logs.broken} lines were broken; check the id and'
-            ' that the logs of every router are given'
+            f'no line refers to request {request_id!r}; {len(lines)} events'
+            f' were read, {logs.broken} lines could not be parsed; check the'
+            ' id and pass the logs of every router'
         )
-    beliefs = [line for line in lines if _matters(line, steps)]
+    beliefs = [line for line in lines if _is_relevant(line, steps)]
     beliefs.sort(key=lambda line: line.at)
     return Explanation(request_id, tuple(steps), tuple(beliefs), logs.broken)
 
 
 def render_text(explanation: Explanation) -> str:
-    """Return the story as a timeline."""
+    """Return the explanation as a timeline."""
     rows = [f'request {explanation.request_id}']
     for vm in dict.fromkeys(step.vm for step in explanation.steps):
         steps = [step for step in explanation.steps if step.vm == vm]
@@ -99,39 +105,45 @@
 
 
 def render_json(explanation: Explanation) -> str:
-    """Return the story as JSON."""
+    """Return the explanation as JSON."""
     return msgspec.json.encode(explanation).decode()
 
 
-def _matters(line: Line, steps: list[Line]) -> bool:
-    mine = [step for step in steps if step.vm == line.vm]
-    if not mine or line.event.startswith(REQUEST):
+def _is_relevant(line: Line, steps: list[Line]) -> bool:
+    own_steps = [step for step in steps if step.vm == line.vm]
+    if not own_steps or line.event.startswith(REQUEST_PREFIX):
         return False
-    if line.event.startswith(SAME_REQUEST):
-        digests = {step.fields.get('digest') for step in mine}
-        return line.fields['digest'] in digests and line.at <= mine[-1].at
-    chosen = {step.fields.get('instance') for step in mine}
-    if line.event.startswith(LIMIT):
+    if line.event.startswith(DIGEST_EVENTS):
+        digests = {step.fields.get('digest') for step in own_steps}
+        return line.fields['digest'] in digests and line.at <= own_steps[-1].at
+    chosen = {step.fields.get('instance') for step in own_steps}
+    if line.event.startswith(LIMIT_EVENTS):
         start = line.fields.get('start', '')
-        return start.partition('@')[0] in chosen and line.at <= mine[-1].at
-    began = mine[-1].at - mine[-1].after
-    if not began - BEFORE <= line.at <= mine[-1].at + AFTER:
+        return (
+            start.partition('@')[0] in chosen and line.at <= own_steps[-1].at
+        )
+    began = own_steps[-1].at - own_steps[-1].after
+    if (
+        not began - CONTEXT_BEFORE
+        <= line.at
+        <= own_steps[-1].at + CONTEXT_AFTER
+    ):
         return False
-    if line.event.startswith(UPSTREAM):
+    if line.event.startswith(UPSTREAM_EVENTS):
         return line.fields.get('instance') in chosen
-    return line.event.startswith(BELIEFS)
+    return line.event.startswith(STATE_EVENTS)
 
 
 def _render_row(after: datetime.timedelta, line: Line) -> str:
-    mark = ' ' if line.event.startswith(REQUEST) else '*'
-    shown = ' '.join(
+    marker = ' ' if line.event.startswith(REQUEST_PREFIX) else '*'
+    fields = ' '.join(
         f'{name}={_render_value(value)}'
         for name, value in line.fields.items()
-        if name not in FRAME and value is not None
+        if name not in OMITTED_FIELDS and value is not None
     )
     milliseconds = after / datetime.timedelta(milliseconds=1)
-    name = line.event.removeprefix(REQUEST)
-    return f'{milliseconds:+10.1f} ms {mark} {name:<16} {shown}'
+    name = line.event.removeprefix(REQUEST_PREFIX)
+    return f'{milliseconds:+10.1f} ms {marker} {name:<16} {fields}'
 
 
 def _render_value(value: object) -> str:
--- a/src/lifttrestle/internal/telemetry/fleet_metrics.py
+++ b/src/lifttrestle/internal/telemetry/fleet_metrics.py
@@ -10,9 +10,9 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Counters and latency histograms of a fleet router.
+"""Prometheus metrics of a fleet router.
 
-docs/METRICS.md says which question each one answers.
+docs/METRICS.md explains what each metric is for.
 """
 
 from collections.abc import Callable
@@ -20,12 +20,12 @@
 import prometheus_client
 
 PREFIX = 'lifttrestle'
-# Workspaces with a counter of their own; the others share one.
+# Workspaces with a label value of their own; all others share ``OTHERS``.
 MAX_WORKSPACES = 100
 OTHERS = 'others'
-# Bounds in seconds. The objectives of the known deployments lie between
-# 0.1 and 0.7 s, their time limits between 0.6 and 15 s.
-LATENCY_BOUNDS = (
+# Upper bounds in seconds. The latency objectives of the known deployments are
+# between 0.1 and 0.7 s, their time limits between 0.6 and 15 s.
+LATENCY_BUCKETS = (
     0.01,
     0.025,
     0.05,
@@ -40,17 +40,17 @@
     8.0,
     16.0,
 )
-# Of the difference between what a choice expected and what came; a negative
-# one was sooner than expected.
-ERROR_BOUNDS = (-0.4, -0.15, -0.05, 0.0, 0.05, 0.15, 0.4, 1.0, 4.0)
+# Upper bounds in seconds for the observed minus the expected time to first
+# byte; a negative value is an answer that began sooner than expected.
+ERROR_BUCKETS = (-0.4, -0.15, -0.05, 0.0, 0.05, 0.15, 0.4, 1.0, 4.0)
 
 
 class FleetMetrics:
-    """The metrics of one process, in a registry of their own."""
+    """Metrics of one process, in a registry of their own."""
 
     def __init__(self) -> None:
         self.registry = prometheus_client.CollectorRegistry()
-        self._ended = self._make_counter(
+        self._requests = self._make_counter(
             'requests', 'Requests that ended.', ('service', 'outcome')
         )
         self._attempts = self._make_counter(
@@ -71,7 +71,7 @@
         self._permits = self._make_counter(
             'permits', 'Questions for a permit to send.', ('result',)
         )
-        self._over_cap_names: set[str] = set()
+        self._over_cap_workspaces: set[str] = set()
         self._seconds = self._make_histogram(
             'request_seconds', 'From the head of a request to its end.'
         )
@@ -81,85 +81,85 @@
         self._expectation_error = self._make_histogram(
             'expectation_error_seconds',
             'First byte of an answer, observed less expected.',
-            ERROR_BOUNDS,
+            ERROR_BUCKETS,
         )
 
     def count_request(
         self, service: str, outcome: str, seconds: float
     ) -> None:
-        """Count a request that ended."""
-        self._ended.labels(service, outcome).inc()
+        """Count a request that ended, and record its duration."""
+        self._requests.labels(service, outcome).inc()
         self._seconds.labels(service).observe(seconds)
 
     def count_attempt(self, service: str, result: str) -> None:
-        """Count a send by how it went."""
+        """Count an attempt by its result."""
         self._attempts.labels(service, result).inc()
 
     def count_refused_input(self, source: str, fault: str) -> None:
-        """Count data of another writer that can't be used."""
+        """Count received data that was refused as invalid."""
         self._refused_input.labels(source, fault).inc()
 
     def count_retry(self, service: str, granted: bool) -> None:
-        """Count a retry that the budget granted or refused."""
+        """Count a retry that the retry budget granted or refused."""
         result = 'granted' if granted else 'refused'
         self._retries.labels(service, result).inc()
 
     def count_over_cap(self, workspace: str) -> None:
-        """Count a request that was refused over its workspace's cap."""
-        if len(self._over_cap_names) < MAX_WORKSPACES:
-            self._over_cap_names.add(workspace)
-        known = workspace in self._over_cap_names
-        self._over_cap.labels(workspace if known else OTHERS).inc()
+        """Count a request that exceeded the usage cap of its workspace."""
+        if len(self._over_cap_workspaces) < MAX_WORKSPACES:
+            self._over_cap_workspaces.add(workspace)
+        has_own_label = workspace in self._over_cap_workspaces
+        self._over_cap.labels(workspace if has_own_label else OTHERS).inc()
 
     def count_permit(self, result: str) -> None:
-        """Count a question for a permit by how it ended."""
+        """Count a request for a permit by its result."""
         self._permits.labels(result).inc()
 
-    def count_connection(self, service: str, kept: bool) -> None:
-        """Count a send by whether its connection was a kept one."""
-        self._connections.labels(service, 'kept' if kept else 'new').inc()
+    def count_connection(self, service: str, reused: bool) -> None:
+        """Count an attempt by whether its connection was reused."""
+        self._connections.labels(service, 'kept' if reused else 'new').inc()
 
     def observe_first_byte(
         self, service: str, seconds: float, expected_seconds: float
     ) -> None:
-        """Record how long an upstream took to begin its answer.
+        """Record the time to first byte of an attempt.
 
-        :param expected_seconds: what the choice of the upstream expected.
+        :param expected_seconds: estimate when the upstream was chosen.
         """
         self._first_byte.labels(service).observe(seconds)
         error = seconds - expected_seconds
         self._expectation_error.labels(service).observe(error)
 
     def add_gauge(
-        self, name: str, text: str, read: Callable[[], float]
+        self, name: str, description: str, read_value: Callable[[], float]
     ) -> None:
-        """Serve a gauge whose value is read when it is asked for."""
+        """Register a gauge whose value is read on each collection."""
         gauge = prometheus_client.Gauge(
-            f'{PREFIX}_{name}', text, registry=self.registry
+            f'{PREFIX}_{name}', description, registry=self.registry
         )
-        gauge.set_function(read)
+        gauge.set_function(read_value)
 
     def render(self) -> bytes:
-        """Return all metrics in the text format."""
+        """Return all metrics in the Prometheus text format."""
         return prometheus_client.generate_latest(self.registry)
 
     def _make_counter(
-        self, name: str, text: str, labels: tuple[str, ...]
+        self, name: str, description: str, labels: tuple[str, ...]
     ) -> prometheus_client.Counter:
         return prometheus_client.Counter(
-            f'{PREFIX}_{name}', text, labels, registry=self.registry
+            f'{PREFIX}_{name}', description, labels, registry=self.registry
         )
 
     def _make_histogram(
         self,
         name: str,
-        text: str,
-        bounds: tuple[float, ...] = LATENCY_BOUNDS,
+        description: str,
+        buckets: tuple[float, ...] = LATENCY_BUCKETS,
     ) -> prometheus_client.Histogram:
         return prometheus_client.Histogram(
             f'{PREFIX}_{name}',
-            text,
+            description,
             ('service',),
-            buckets=bounds,
+            buckets=buckets,
             registry=self.registry,
         )
--- a/src/lifttrestle/internal/telemetry/line_output.py
+++ b/src/lifttrestle/internal/telemetry/line_output.py
@@ -10,24 +10,26 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Lines on their way to a descriptor whose reader may stop at any time."""
+"""Non-blocking output of lines to a file descriptor."""
 
 import collections
 import os
 import select
 
-# Lines that wait for the reader: about 2 MB.
+# Limit of the buffered lines: about 2 MB.
 MAX_LINES = 8000
-# A pipe that takes anything takes so many bytes at once (PIPE_BUF).
+# A pipe that polls as writable accepts this many bytes without blocking.
 CHUNK_BYTES = select.PIPE_BUF
 MILLISECONDS = 1000
 
 
 class LineOutput:
-    """Writes lines without ever waiting for their reader, unless told to.
+    """Buffers lines and writes them without blocking on a stalled reader.
 
-    No thread: with one, each line woke it, and handing the interpreter over
-    took some ten system calls a request.
+    It uses no thread: each line woke a writer thread, and passing the
+    interpreter lock to it took about ten system calls per request.
+
+    :ivar dropped: lines that were dropped, until the owner resets it.
     """
 
     def __init__(self, descriptor: int) -> None:
@@ -38,37 +40,37 @@
         self.dropped = 0
 
     def put(self, line: str) -> None:
-        """Take a line, or drop and count it if too many wait already."""
+        """Buffer a line, or drop and count it if the buffer is full."""
         if len(self._pending) >= MAX_LINES:
             self.dropped += 1
             return
         self._pending.append(f'{line}\n'.encode())
 
     def flush(self, wait_seconds: float = 0.0) -> None:
-        """Write what the reader has room for.
+        """Write as many buffered lines as the descriptor accepts.
 
-        :param wait_seconds: for which it may make no room.
+        :param wait_seconds: how long to wait for it to accept more.
         """
         timeout = round(wait_seconds * MILLISECONDS)
         while self._pending and self._poll.poll(timeout):
             try:
-                self._write(self._take_chunk())
+                self._write(self._pop_chunk())
             except OSError:
-                # Nobody reads any more, and there is no other place to tell.
+                # The reader is gone, so the error can't be logged either.
                 self.dropped += len(self._pending) + 1
                 self._pending.clear()
 
-    def _take_chunk(self) -> bytes:
-        """Return as many of the next lines as may be written at once."""
+    def _pop_chunk(self) -> bytes:
+        """Remove and return the next bytes, at most ``CHUNK_BYTES``."""
         chunk = self._pending.popleft()
         if len(chunk) > CHUNK_BYTES:
             self._pending.appendleft(chunk[CHUNK_BYTES:])
             return chunk[:CHUNK_BYTES]
         lines = [chunk]
-        room = CHUNK_BYTES - len(chunk)
-        while self._pending and len(self._pending[0]) <= room:
+        space = CHUNK_BYTES - len(chunk)
+        while self._pending and len(self._pending[0]) <= space:
             lines.append(self._pending.popleft())
-            room -= len(lines[-1])
+            space -= len(lines[-1])
         return b''.join(lines)
 
     def _write(self, chunk: bytes) -> None:
--- a/src/lifttrestle/internal/telemetry/log_lines.py
+++ b/src/lifttrestle/internal/telemetry/log_lines.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Reads the events that routers wrote to their logs."""
+"""Reads the events in the log files of routers."""
 
 from collections.abc import Iterable
 import dataclasses
@@ -20,13 +20,17 @@
 
 import msgspec
 
-REQUEST = 'request.'
+REQUEST_PREFIX = 'request.'
 EVENT_START = '{"at"'
 
 
 @dataclasses.dataclass(frozen=True)
 class Line:
-    """One event."""
+    """One event of a log.
+
+    :ivar vm: machine of the router that logged it.
+    :ivar fields: all fields of the line, including ``at`` and ``vm``.
+    """
 
     at: datetime.datetime
     vm: str
@@ -35,16 +39,16 @@
 
     @property
     def after(self) -> datetime.timedelta:
-        """Return how long after its request's arrival it happened."""
+        """Return the time since the arrival of the request."""
         milliseconds = self.fields.get('after_ms', 0)
         return datetime.timedelta(milliseconds=milliseconds)
 
 
 @dataclasses.dataclass(frozen=True)
 class LogLines:
-    """What was read of some logs.
+    """The events of some logs.
 
-    :ivar broken: how many lines could not be read.
+    :ivar broken: number of lines that could not be parsed.
     """
 
     lines: tuple[Line, ...]
@@ -63,7 +67,7 @@
             start = text.find(EVENT_START)
             if start < 0:
                 continue
-            line = _read_line(text[start:])
+            line = _parse_line(text[start:])
             if line is None:
                 broken += 1
             else:
@@ -71,7 +75,7 @@
     return LogLines(tuple(lines), broken)
 
 
-def _read_line(text: str) -> Line | None:
+def _parse_line(text: str) -> Line | None:
     try:
         fields = msgspec.json.decode(text)
         at = datetime.datetime.fromisoformat(fields['at'])
--- a/src/lifttrestle/internal/telemetry/logs.py
+++ b/src/lifttrestle/internal/telemetry/logs.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Sets up the log: one line a message, on standard error."""
+"""Configures logging to standard error, one line per message."""
 
 import logging
 import sys
@@ -20,7 +20,7 @@
 
 
 def set_up_logs(level: str) -> None:
-    """Log the package's messages from ``level`` up."""
+    """Log the package's messages of at least ``level``."""
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(logging.Formatter(FORMAT))
     root = logging.getLogger(ROOT)
--- a/src/lifttrestle/internal/telemetry/losses.py
+++ b/src/lifttrestle/internal/telemetry/losses.py
@@ -10,11 +10,11 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Tells which requests were lost or late, when, and for what reason.
+"""Finds lost and late requests in logs, with their times and causes.
 
-It works on the logs alone: each request's last step says how it ended, and
-the steps before say what it met. Requests that were served well are logged
-only as far as the rate of the log allows, so their count is a lower bound.
+The logs are the only input: the last event of a request gives its outcome,
+and the events before it the cause. The events of successful requests are
+subject to the rate limit of the log, so their count is a lower bound.
 """
 
 import collections
@@ -29,19 +29,24 @@
 
 from lifttrestle.internal.telemetry.log_lines import Line
 from lifttrestle.internal.telemetry.log_lines import read_logs
-from lifttrestle.internal.telemetry.log_lines import REQUEST
+from lifttrestle.internal.telemetry.log_lines import REQUEST_PREFIX
 
 COMPLETE = 'complete'
 CUT = 'cut'
 CALLER_GONE = 'caller gone'
-# An answer that began this much later than the choice of its upstream had
-# expected was not late by the choice alone: the error of nine in ten
-# expectations on a calm day is smaller.
-SURPRISE_MS = 150.0
+# If an answer began later than estimated by more than this, the estimate was
+# wrong and the choice of the upstream is not the only cause of the delay. On
+# a day without incidents, the error of nine in ten estimates is smaller.
+ESTIMATE_ERROR_MS = 150.0
 
 
 class Outcome(enum.Enum):
-    """What a caller got."""
+    """Outcome of a request for its caller.
+
+    LATE: complete, but a latency or pause target was missed. REFUSED: not
+    executed by any upstream. LEFT: the caller disconnected. FAILED: all other
+    requests without a complete answer.
+    """
 
     IN_TIME = 'in time'
     LATE = 'late'
@@ -52,10 +57,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class RequestEnd:
-    """How one request ended.
+    """Outcome of one request.
 
-    :ivar at: when it arrived.
-    :ivar cause: what made it end so; empty for one that was in time.
+    :ivar at: time of arrival.
+    :ivar cause: outcome and cause; empty for a request in time.
     """
 
     at: datetime.datetime
@@ -66,11 +71,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class Window:
-    """The requests that arrived within a span of time.
+    """Requests that arrived within one interval.
 
-    :ivar after: from the first arrival in the logs to its beginning.
-    :ivar counts: by outcome.
-    :ivar causes: of what was not in time, the most frequent first.
+    :ivar after: start of the interval, since the first arrival in the logs.
+    :ivar counts: requests by outcome.
+    :ivar causes: requests not in time by cause, the most frequent first.
     """
 
     after: datetime.timedelta
@@ -80,10 +85,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class Losses:
-    """What some logs tell of losses.
+    """Lost and late requests of some logs.
 
-    :ivar causes: over all windows, the most frequent first.
-    :ivar broken: lines that could not be read.
+    :ivar causes: totals over all windows, the most frequent first.
+    :ivar broken: number of lines that could not be parsed.
     """
 
     windows: tuple[Window, ...]
@@ -94,7 +99,7 @@
 def find_losses(
     paths: Iterable[pathlib.Path], span: datetime.timedelta
 ) -> Losses:
-    """Return the losses of some logs, by windows of ``span``.
+    """Return the losses of some logs, in windows of length ``span``.
 
     :raises OSError: if a file can't be read.
     """
@@ -114,7 +119,7 @@
 
 
 def render_table(losses: Losses) -> str:
-    """Return the windows as a table, then the causes of all."""
+    """Return a table of the windows, followed by the total causes."""
     names = [outcome.value for outcome in Outcome]
     rows = ['   from s ' + ''.join(f'{name:>9}' for name in names)]
     for window in losses.windows:
@@ -152,21 +157,23 @@
 
 
 def _list_ends(lines: Iterable[Line]) -> list[RequestEnd]:
-    stories: dict[tuple[str, str], list[Line]] = collections.defaultdict(list)
+    events_by_request: dict[tuple[str, str], list[Line]] = (
+        collections.defaultdict(list)
+    )
     for line in lines:
-        if line.event.startswith(REQUEST):
+        if line.event.startswith(REQUEST_PREFIX):
             key = (line.vm, str(line.fields.get('request')))
-            stories[key].append(line)
+            events_by_request[key].append(line)
     return [
-        _read_end(story)
-        for story in stories.values()
-        if story[-1].event == f'{REQUEST}ended'
+        _summarize_request(events)
+        for events in events_by_request.values()
+        if events[-1].event == f'{REQUEST_PREFIX}ended'
     ]
 
 
-def _read_end(story: list[Line]) -> RequestEnd:
-    last = story[-1]
-    steps = {line.event.removeprefix(REQUEST): line for line in story}
+def _summarize_request(events: list[Line]) -> RequestEnd:
+    last = events[-1]
+    steps = {line.event.removeprefix(REQUEST_PREFIX): line for line in events}
     outcome = _find_outcome(steps, last)
     cause = ''
     if outcome is not Outcome.IN_TIME:
@@ -188,19 +195,19 @@
 
 
 def _is_late(steps: dict[str, Line], last: Line) -> bool:
-    return _exceeds(last, 'begun_ms', steps, 'target_ms') or _paused(
-        steps, last
-    )
+    return _exceeds(
+        last, 'begun_ms', steps, 'target_ms'
+    ) or _exceeds_pause_target(steps, last)
 
 
-def _paused(steps: dict[str, Line], last: Line) -> bool:
+def _exceeds_pause_target(steps: dict[str, Line], last: Line) -> bool:
     return _exceeds(last, 'longest_pause_ms', steps, 'pause_target_ms')
 
 
 def _exceeds(
     last: Line, name: str, steps: dict[str, Line], bound: str
 ) -> bool:
-    """Return whether a figure is over the bound told at admission."""
+    """Return whether a value exceeds a target logged at admission."""
     admitted = steps.get('admitted')
     limit = admitted.fields.get(bound) if admitted else None
     value = last.fields.get(name)
@@ -209,40 +216,40 @@
     return float(value) > float(limit)
 
 
-def _only_paused(steps: dict[str, Line], last: Line) -> bool:
+def _is_late_by_pause_only(steps: dict[str, Line], last: Line) -> bool:
     begun_late = _exceeds(last, 'begun_ms', steps, 'target_ms')
-    return not begun_late and _paused(steps, last)
+    return not begun_late and _exceeds_pause_target(steps, last)
 
 
 def _find_cause(steps: dict[str, Line], last: Line) -> str:
-    """Return the first reason of a table that holds."""
-    for holds, tell in CAUSES:
-        if holds(steps, last):
-            return tell(steps, last)
+    """Return the description of the first matching rule."""
+    for applies, describe in CAUSES:
+        if applies(steps, last):
+            return describe(steps, last)
     return 'the upstream was expected to be late'
 
 
-def _has(name: str) -> Callable[[dict[str, Line], Line], bool]:
+def _has_step(name: str) -> Callable[[dict[str, Line], Line], bool]:
     return lambda steps, last: name in steps
 
 
-def _was_surprised(steps: dict[str, Line], last: Line) -> bool:
+def _was_slower_than_expected(steps: dict[str, Line], last: Line) -> bool:
     first = last.fields.get('first_ms')
     expected = last.fields.get('expected_ms')
     if first is None or expected is None:
         return False
-    return float(first) - float(expected) > SURPRISE_MS
+    return float(first) - float(expected) > ESTIMATE_ERROR_MS
 
 
 def _was_cut(steps: dict[str, Line], last: Line) -> bool:
     return last.fields.get('outcome') == CUT
 
 
-def _tell_attempt(steps: dict[str, Line], last: Line) -> str:
+def _describe_attempt(steps: dict[str, Line], last: Line) -> str:
     return f'an attempt ended with {steps["attempt_failed"].fields["kind"]}'
 
 
-def _tell_refusal(steps: dict[str, Line], last: Line) -> str:
+def _describe_refusal(steps: dict[str, Line], last: Line) -> str:
     return str(steps['refused'].fields.get('kind'))
 
 
@@ -254,17 +261,20 @@
     Callable[[dict[str, Line], Line], bool],
     Callable[[dict[str, Line], Line], str],
 ]
-# What may have made a request end badly, the most telling first.
+# Causes that a request was lost or late, the most specific first.
 CAUSES: tuple[Rule, ...] = (
     (_was_cut, lambda steps, last: 'its router stopped'),
-    (_has('attempt_failed'), _tell_attempt),
-    (_has('out_of_time'), lambda steps, last: 'the upstream did not answer'),
-    (_has('refused'), _tell_refusal),
-    (_only_paused, lambda steps, last: 'its stream paused'),
-    (_has('held'), lambda steps, last: 'it waited for an upstream'),
+    (_has_step('attempt_failed'), _describe_attempt),
+    (
+        _has_step('out_of_time'),
+        lambda steps, last: 'the upstream did not answer',
+    ),
+    (_has_step('refused'), _describe_refusal),
+    (_is_late_by_pause_only, lambda steps, last: 'its stream paused'),
+    (_has_step('held'), lambda steps, last: 'it waited for an upstream'),
     (_has_no_answer, lambda steps, last: 'the upstream did not answer'),
     (
-        _was_surprised,
+        _was_slower_than_expected,
         lambda steps, last: 'the upstream was slower than expected',
     ),
 )
--- a/src/lifttrestle/internal/telemetry/metrics.py
+++ b/src/lifttrestle/internal/telemetry/metrics.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Sends metrics to a statsd server, or drops them where none is set."""
+"""Sends metrics to a statsd server, if one is configured."""
 
 from typing import Any
 
@@ -20,13 +20,13 @@
 
 
 class Metrics:
-    """Counts and times what the router does, over UDP."""
+    """Statsd client that does nothing without a configured server."""
 
     def __init__(self, settings: StatsdSection) -> None:
-        # A statsd.StatsClient, if there is a server.
+        # A statsd.StatsClient, or None without a configured server.
         self._client: Any = None
         if settings.host:
-            # Few deployments have such a server; the others start without.
+            # Few deployments have a server; the others skip this import.
             import statsd
 
             self._client = statsd.StatsClient(
--- a/src/lifttrestle/internal/telemetry/statsd_feed.py
+++ b/src/lifttrestle/internal/telemetry/statsd_feed.py
@@ -10,10 +10,11 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Sends what a registry of metrics holds to a statsd server, now and then.
+"""Periodically sends the metrics of a registry to a statsd server.
 
-Counters, and those of histograms, are sent as what was added since the last
-time; gauges as they are. What a datagram loses of a counter stays lost.
+Counters, and the counts and sums of histograms, are sent as increases since
+the last transmission, gauges as their values. An increase in a datagram that
+is lost is not sent again.
 """
 
 import re
@@ -25,17 +26,17 @@
 from lifttrestle.internal.telemetry.fleet_metrics import PREFIX
 from lifttrestle.internal.telemetry.metrics import Metrics
 
-# As often as statsd servers commonly flush.
+# The usual flush interval of statsd servers.
 FEED_SECONDS = 10.0
-# Samples that tell when a metric was made, or repeat others bound by bound.
-LEFT_OUT = ('_created', '_bucket')
+# Samples of creation times and of histogram buckets.
+SKIPPED_SUFFIXES = ('_created', '_bucket')
 GAUGE = 'gauge'
-# Statsd gives these a meaning of their own.
-RESERVED = re.compile(r'[^A-Za-z0-9_-]+')
+# Characters that may have a special meaning to statsd.
+UNSAFE_CHARACTERS = re.compile(r'[^A-Za-z0-9_-]+')
 
 
 class StatsdFeed:
-    """Feeds a statsd server from a registry."""
+    """Sends the metrics of a registry to a statsd server."""
 
     def __init__(
         self,
@@ -49,30 +50,32 @@
         self._sent: dict[str, float] = {}
 
     async def run(self) -> None:
-        """Feed the server for ever."""
+        """Send changes periodically, until cancelled."""
         while True:
             await self._clock.sleep(FEED_SECONDS)
             self.feed()
 
     def feed(self) -> None:
-        """Send what has changed since the last time."""
+        """Send the changes of counters and the values of all gauges."""
         for family in self._registry.collect():
             for sample in family.samples:
-                if not sample.name.endswith(LEFT_OUT):
+                if not sample.name.endswith(SKIPPED_SUFFIXES):
                     self._send(sample, family.type == GAUGE)
 
-    def _send(self, sample: samples.Sample, gauge: bool) -> None:
-        name = _make_name(sample)
-        if gauge:
+    def _send(self, sample: samples.Sample, is_gauge: bool) -> None:
+        name = _format_name(sample)
+        if is_gauge:
             self._metrics.gauge(name, sample.value)
             return
-        added = sample.value - self._sent.get(name, 0.0)
+        increase = sample.value - self._sent.get(name, 0.0)
         self._sent[name] = sample.value
-        if added:
-            self._metrics.count(name, added)
+        if increase:
+            self._metrics.count(name, increase)
 
 
-def _make_name(sample: samples.Sample) -> str:
-    labels = [RESERVED.sub('_', text) for text in sample.labels.values()]
+def _format_name(sample: samples.Sample) -> str:
+    labels = [
+        UNSAFE_CHARACTERS.sub('_', text) for text in sample.labels.values()
+    ]
     name = sample.name.removeprefix(f'{PREFIX}_')
     return '.'.join([name, *labels])
--- a/tests/cover/test_event_log.py
+++ b/tests/cover/test_event_log.py
@@ -10,7 +10,11 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Events: bounded in rate, never in the way, whole for what failed."""
+"""Tests of the event log.
+
+Events are rate-limited and never block the process; a failed request keeps
+all its events.
+"""
 
 import asyncio
 import datetime
@@ -29,14 +33,14 @@
 from lifttrestle.internal.fleet.path.decision_log import DecisionLog
 from lifttrestle.internal.telemetry.event_log import get_event_log
 from lifttrestle.internal.telemetry.event_sink import BURST
-from lifttrestle.internal.telemetry.event_sink import COLLECT_SECONDS
 from lifttrestle.internal.telemetry.event_sink import EventSink
+from lifttrestle.internal.telemetry.event_sink import FLUSH_SECONDS
 from lifttrestle.internal.telemetry.event_sink import SUMMARY_SECONDS
 from lifttrestle.internal.telemetry.line_output import LineOutput
 from lifttrestle.internal.telemetry.line_output import MAX_LINES
 
 START = datetime.datetime(2026, 12, 2, tzinfo=datetime.timezone.utc)
-OVER = 50
+EXCESS = 50
 
 
 class SinkCase(unittest.TestCase):
@@ -79,7 +83,7 @@
         self.assertEqual(line['at'], '2026-12-02T00:00:00Z')
 
     def test_lines_of_a_running_process_are_written_together(self):
-        # The five lines of a request took five writes.
+        # Guards against one write per line, five for one request.
         stream = self.open_stream()
         sink = self.open_sink(stream)
         log = get_event_log('x')
@@ -91,7 +95,7 @@
                 log.info('step', number=number)
             self.assertEqual(self.read(stream), [])
             with mock.patch('os.write', wraps=os.write) as write:
-                self.clock.advance(COLLECT_SECONDS)
+                self.clock.advance(FLUSH_SECONDS)
                 await asyncio.sleep(0)
                 await asyncio.sleep(0)
             write.assert_called_once()
@@ -101,7 +105,7 @@
         asyncio.run(run())
         numbers = [line['number'] for line in self.read(stream)]
         self.assertEqual(numbers, [*range(5)])
-        # What comes after it is written at once.
+        # After ``run`` has ended, lines are written immediately.
         log.info('last')
         self.assertEqual(self.read(stream)[-1]['event'], 'last')
 
@@ -109,7 +113,7 @@
         stream = self.open_stream()
         sink = self.open_sink(stream)
         log = get_event_log('x')
-        for _ in range(int(BURST) + OVER):
+        for _ in range(int(BURST) + EXCESS):
             log.info('busy.kind')
         log.info('other.kind')
         self.clock.advance(SUMMARY_SECONDS)
@@ -117,29 +121,29 @@
         sink.close()
         lines = self.read(stream)
         (summary,) = [x for x in lines if x['event'] == 'log.left_out']
-        self.assertEqual(summary['over_rate'], {'busy.kind': OVER})
+        self.assertEqual(summary['over_rate'], {'busy.kind': EXCESS})
         kinds = [line['event'] for line in lines]
         self.assertEqual(kinds.count('busy.kind'), BURST)
         self.assertEqual(kinds.count('other.kind'), 2)
 
-    def test_story_of_a_failed_request_is_whole_over_the_rate(self):
+    def test_failed_request_keeps_all_events_above_the_rate(self):
         stream = self.open_stream()
         sink = self.open_sink(stream)
-        for number in range(int(BURST) + OVER):
-            story = DecisionLog(self.clock, f'good-{number}')
-            story.write('complete', failed=False)
-        story = DecisionLog(self.clock, 'bad')
-        story.add('sent', instance='p1')
-        story.add('refused', kind='overloaded')
-        story.write('overloaded', failed=True)
+        for number in range(int(BURST) + EXCESS):
+            decision_log = DecisionLog(self.clock, f'good-{number}')
+            decision_log.write('complete', failed=False)
+        decision_log = DecisionLog(self.clock, 'bad')
+        decision_log.add('sent', instance='p1')
+        decision_log.add('refused', kind='overloaded')
+        decision_log.write('overloaded', failed=True)
         sink.close()
-        told = [
+        events = [
             line['event']
             for line in self.read(stream)
             if line.get('request') == 'bad'
         ]
         expected = ['request.sent', 'request.refused', 'request.ended']
-        self.assertEqual(told, expected)
+        self.assertEqual(events, expected)
 
     def test_reader_that_stops_makes_no_one_wait(self):
         reading, writing = os.pipe()
@@ -149,7 +153,7 @@
         log = get_event_log('x')
         for _ in range(2 * MAX_LINES):
             log.info('much', whole=True, text='x' * 100)
-        # Nothing was read; the pipe is full, and what waits is bounded.
+        # Nothing was read: the pipe is full and the buffer is bounded.
         self.assertGreater(sink.dropped, 0)
         drained = os.fdopen(os.dup(reading), 'rb')
         drained.read(1024)
--- a/tests/cover/test_explain.py
+++ b/tests/cover/test_explain.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""The story of one request from the logs of many routers."""
+"""Tests of the command ``explain``: one request in the logs of routers."""
 
 import contextlib
 import io
@@ -105,9 +105,9 @@
 
     def test_json_is_for_programs(self):
         _, out, _ = self.run_command('r1', str(self.log), '--json')
-        story = json.loads(out)
-        self.assertEqual(len(story['steps']), 2)
-        self.assertEqual(story['broken'], 1)
+        explanation = json.loads(out)
+        self.assertEqual(len(explanation['steps']), 2)
+        self.assertEqual(explanation['broken'], 1)
 
     def test_unknown_request_says_what_was_read(self):
         code, _, err = self.run_command('r9', str(self.log))
@@ -124,8 +124,8 @@
         self.log.write_text('\n'.join(HELD_LINES))
         code, out, _ = self.run_command('r1', str(self.log))
         self.assertEqual(code, 0)
-        told = [line.split()[3] for line in out.splitlines()[2:]]
-        self.assertEqual(told[:2], ['crash.noted', 'hold.begun'])
+        events = [line.split()[3] for line in out.splitlines()[2:]]
+        self.assertEqual(events[:2], ['crash.noted', 'hold.begun'])
         self.assertEqual(out.count('hold.'), 1)
 
     def test_request_sent_elsewhere_is_explained_by_a_limit(self):
--- a/tests/cover/test_losses.py
+++ b/tests/cover/test_losses.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Which requests were lost or late, by the logs of any deployment."""
+"""Tests of the command ``losses``: lost and late requests in logs."""
 
 import contextlib
 import io
@@ -35,30 +35,30 @@
     )
 
 
-def make_story(request, second, *steps, outcome='complete', **ended):
-    """Return a story of a request that arrives at a second."""
+def make_request_log(request, second, *steps, outcome='complete', **ended):
+    """Return the log lines of a request that arrives at ``second``."""
     admitted = {'target_ms': 400, 'pause_target_ms': 300}
-    told = (('admitted', admitted), *steps)
-    told += (('ended', {'outcome': outcome, 'service': 's', **ended}),)
+    events = (('admitted', admitted), *steps)
+    events += (('ended', {'outcome': outcome, 'service': 's', **ended}),)
     return [
         make_step(request, second, name, after_ms=0, **fields)
-        for name, fields in told
+        for name, fields in events
     ]
 
 
 SENT = ('sent', {'instance': 'e1'})
-STORIES = {
-    'in time': make_story('a', 1.0, SENT, begun_ms=90, first_ms=80),
-    'late: the upstream was slower than expected': make_story(
+REQUESTS = {
+    'in time': make_request_log('a', 1.0, SENT, begun_ms=90, first_ms=80),
+    'late: the upstream was slower than expected': make_request_log(
         'b', 1.1, SENT, begun_ms=700, first_ms=650, expected_ms=90
     ),
-    'late: the upstream was expected to be late': make_story(
+    'late: the upstream was expected to be late': make_request_log(
         'c', 1.2, SENT, begun_ms=700, first_ms=650, expected_ms=600
     ),
-    'late: it waited for an upstream': make_story(
+    'late: it waited for an upstream': make_request_log(
         'd', 1.3, ('held', {}), SENT, begun_ms=700, first_ms=80, expected_ms=90
     ),
-    'late: an attempt ended with UpstreamLost': make_story(
+    'late: an attempt ended with UpstreamLost': make_request_log(
         'e',
         1.4,
         SENT,
@@ -68,16 +68,16 @@
         first_ms=80,
         expected_ms=90,
     ),
-    'late: its stream paused': make_story(
+    'late: its stream paused': make_request_log(
         'p', 1.5, SENT, begun_ms=90, first_ms=80, longest_pause_ms=500
     ),
-    'refused: overloaded': make_story(
+    'refused: overloaded': make_request_log(
         'f',
         3.0,
         ('refused', {'kind': 'overloaded', 'ran': 'not run'}),
         outcome='overloaded',
     ),
-    'failed: the upstream did not answer': make_story(
+    'failed: the upstream did not answer': make_request_log(
         'g',
         3.1,
         SENT,
@@ -85,10 +85,10 @@
         ('refused', {'kind': 'deadline_exceeded', 'ran': 'unknown'}),
         outcome='deadline_exceeded',
     ),
-    'failed: its router stopped': make_story(
+    'failed: its router stopped': make_request_log(
         'i', 3.3, SENT, outcome='cut', begun_ms=90, first_ms=80
     ),
-    'left: the upstream did not answer': make_story(
+    'left: the upstream did not answer': make_request_log(
         'h', 3.2, SENT, outcome='caller gone: closed'
     ),
 }
@@ -100,7 +100,7 @@
         self.addCleanup(folder.cleanup)
         self.folder = pathlib.Path(folder.name)
         self.log = self.folder / 'vm-1.log'
-        lines = [line for story in STORIES.values() for line in story]
+        lines = [line for request in REQUESTS.values() for line in request]
         self.log.write_text('\n'.join((*lines, '{"at": torn', 'other')))
 
     def run_command(self, *arguments):
@@ -113,8 +113,8 @@
         code, out, _ = self.run_command('--json')
         content = json.loads(out)
         self.assertEqual(code, 0)
-        told = {cause: 1 for cause in STORIES if cause != 'in time'}
-        self.assertEqual(content['causes'], told)
+        expected = {cause: 1 for cause in REQUESTS if cause != 'in time'}
+        self.assertEqual(content['causes'], expected)
         self.assertEqual(content['broken_lines'], 1)
 
     def test_windows_count_by_arrival(self):
--- a/tests/cover/test_statsd_feed.py
+++ b/tests/cover/test_statsd_feed.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Tests of the feed of metrics to a statsd server."""
+"""Tests of the transmission of metrics to a statsd server."""
 
 import socket
 import unittest
