--- a/src/lifttrestle/internal/platform/node_settings.py
+++ b/src/lifttrestle/internal/platform/node_settings.py
@@ -23,7 +23,7 @@
 from lifttrestle.internal.fleet.settings import Promises
 from lifttrestle.internal.fleet.settings import StoreSettings
 from lifttrestle.internal.settings.fault import Fault
-from lifttrestle.internal.settings.shape import find_shape_faults
+from lifttrestle.internal.settings.shape import find_schema_faults
 
 MILLISECONDS = 1000
 
@@ -94,7 +94,7 @@
             str(path), 0, '(file)', str(error), 'write a YAML mapping here'
         )
         return Failure((fault,))
-    findings = list(find_shape_faults(NodeRecord, data))
+    findings = list(find_schema_faults(NodeRecord, data))
     if findings:
         return Failure(
             tuple(
--- a/src/lifttrestle/internal/settings/load.py
+++ b/src/lifttrestle/internal/settings/load.py
@@ -25,7 +25,7 @@
 from lifttrestle.internal.settings.lines import find_lines
 from lifttrestle.internal.settings.router import RouterSettings
 from lifttrestle.internal.settings.rules import find_rule_faults
-from lifttrestle.internal.settings.shape import find_shape_faults
+from lifttrestle.internal.settings.shape import find_schema_faults
 from lifttrestle.internal.settings.shape import Finding
 
 FILE_KEYS = ('tokens_file', 'token_file')
@@ -45,7 +45,7 @@
         return Failure((_make_file_fault(path, error),))
     _resolve_files(data, path.parent)
     findings = [
-        *find_shape_faults(RouterSettings, data),
+        *find_schema_faults(RouterSettings, data),
         *find_rule_faults(data),
     ]
     if findings:
--- a/src/lifttrestle/internal/settings/shape.py
+++ b/src/lifttrestle/internal/settings/shape.py
@@ -25,7 +25,7 @@
 MISSING = '(missing)'
 
 
-def find_shape_faults(
+def find_schema_faults(
     model: type[msgspec.Struct], data: object, path: str = ''
 ) -> Iterator[Finding]:
     """Yield a (key, value, remedy) for every fault below ``path``."""
@@ -53,10 +53,10 @@
     item = _get_item_model(kind)
     if item is not None and isinstance(value, list):
         for index, entry in enumerate(value):
-            yield from find_shape_faults(item, entry, f'{path}[{index}]')
+            yield from find_schema_faults(item, entry, f'{path}[{index}]')
         return
     if isinstance(kind, type) and issubclass(kind, msgspec.Struct):
-        yield from find_shape_faults(kind, value, path)
+        yield from find_schema_faults(kind, value, path)
         return
     try:
         msgspec.convert(value, kind)
--- a/src/lifttrestle/internal/settings/upstream.py
+++ b/src/lifttrestle/internal/settings/upstream.py
@@ -24,7 +24,7 @@
     SERVICE = 'service'
 
 
-class UpstreamAbilities(
+class UpstreamCapabilities(
     msgspec.Struct, frozen=True, forbid_unknown_fields=True
 ):
     """What an upstream offers beyond its published interface.
@@ -63,4 +63,4 @@
     vm: str = ''
     slots: int = 32
     prefill_tokens_per_second: float = 8000.0
-    can: UpstreamAbilities = UpstreamAbilities()
+    can: UpstreamCapabilities = UpstreamCapabilities()
--- a/tests/cover/test_orders.py
+++ b/tests/cover/test_orders.py
@@ -24,7 +24,7 @@
 from lifttrestle.internal.orders.decision import number_order
 from lifttrestle.internal.orders.lease import Lease
 from lifttrestle.internal.orders.lease import NOT_HELD
-from lifttrestle.internal.settings.upstream import UpstreamAbilities
+from lifttrestle.internal.settings.upstream import UpstreamCapabilities
 from lifttrestle.internal.settings.upstream import UpstreamKind
 from lifttrestle.internal.settings.upstream import UpstreamSettings
 from lifttrestle.internal.store.memory_table import MemoryTable
@@ -137,7 +137,9 @@
             'g',
             place,
             '127.0.0.1:1',
-            can=UpstreamAbilities(reports_state=True, checks_fencing=checks),
+            can=UpstreamCapabilities(
+                reports_state=True, checks_fencing=checks
+            ),
         )
         upstream = UpstreamState(settings, None, report)  # type: ignore
         document = Document(models={'m': Model('m', 'v2', 'g')})
