--- a/src/lifttrestle/internal/platform/node_settings.py
+++ b/src/lifttrestle/internal/platform/node_settings.py
@@ -23,7 +23,7 @@
 from lifttrestle.internal.fleet.settings import Promises
 from lifttrestle.internal.fleet.settings import StoreSettings
 from lifttrestle.internal.settings.fault import Fault
-from lifttrestle.internal.settings.shape import find_schema_faults
+from lifttrestle.internal.settings.schema import find_schema_faults
 
 MILLISECONDS = 1000
 
--- a/src/lifttrestle/internal/settings/load.py
+++ b/src/lifttrestle/internal/settings/load.py
@@ -25,8 +25,8 @@
 from lifttrestle.internal.settings.lines import find_lines
 from lifttrestle.internal.settings.router import RouterSettings
 from lifttrestle.internal.settings.rules import find_rule_faults
-from lifttrestle.internal.settings.shape import find_schema_faults
-from lifttrestle.internal.settings.shape import Finding
+from lifttrestle.internal.settings.schema import find_schema_faults
+from lifttrestle.internal.settings.schema import Finding
 
 FILE_KEYS = ('tokens_file', 'token_file')
 
--- a/src/lifttrestle/internal/settings/rules.py
+++ b/src/lifttrestle/internal/settings/rules.py
@@ -23,7 +23,7 @@
 import typing
 
 from lifttrestle.internal.http.address import check_address
-from lifttrestle.internal.settings.shape import Finding
+from lifttrestle.internal.settings.schema import Finding
 
 Data = dict[str, typing.Any]
 LOG_LEVELS = ('debug', 'info', 'warning', 'error')
