--- a/src/lifttrestle/internal/settings/fault.py
+++ b/src/lifttrestle/internal/settings/fault.py
@@ -10,17 +10,19 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""One fault in a settings file."""
+"""A fault in a settings file, as shown to the operator."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True)
 class Fault:
-    """Where a settings file is wrong and what to do about it.
+    """An invalid or missing value in a settings file and how to correct it.
 
-    :ivar line: the line number from 1, or 0 where it is not known.
-    :ivar key: the dotted path of the key.
+    :ivar line: the line number from 1, or 0 if it is not known.
+    :ivar key: the dotted path of the key; indices are in brackets.
+    :ivar value: the invalid value as text.
+    :ivar remedy: what is wrong or how to correct it.
     """
 
     file: str
@@ -30,6 +32,6 @@
     remedy: str
 
     def __str__(self) -> str:
-        """Return the fault as one line of text."""
-        place = f'{self.file}:{self.line}' if self.line else self.file
-        return f'{place}: {self.key} = {self.value}: {self.remedy}'
+        """Return ``FILE:LINE: KEY = VALUE: REMEDY``."""
+        location = f'{self.file}:{self.line}' if self.line else self.file
+        return f'{location}: {self.key} = {self.value}: {self.remedy}'
--- a/src/lifttrestle/internal/settings/lines.py
+++ b/src/lifttrestle/internal/settings/lines.py
@@ -12,32 +12,32 @@
 
 """Line numbers of the keys in a TOML file.
 
-The TOML library does not keep them. This reads table headers and the keys at
-the start of a line, which is enough to point a person at the place; a key
-inside an inline table is found at its outer key.
+The TOML library does not keep line numbers. This module recognizes table
+headers and the keys at the start of a line, which suffices for error
+messages; a key within an inline table gets the line of the enclosing key.
 """
 
 import re
 
-HEADER = re.compile(r'^\s*(\[\[?)\s*([^\]]+?)\s*\]')
-KEY = re.compile(r'^\s*([A-Za-z0-9_.-]+)\s*=')
+HEADER_PATTERN = re.compile(r'^\s*(\[\[?)\s*([^\]]+?)\s*\]')
+KEY_PATTERN = re.compile(r'^\s*([A-Za-z0-9_.-]+)\s*=')
 
 
 def find_lines(text: str) -> dict[str, int]:
-    """Return a map from a dotted key to its line, counted from 1.
+    """Return the line of each dotted key, counted from 1.
 
-    Entries of an array of tables are numbered: ``upstream[0].name``.
+    Entries of an array of tables are indexed from 0: ``upstream[0].name``.
     """
     lines: dict[str, int] = {}
     counts: dict[str, int] = {}
     table = ''
     for number, line in enumerate(text.splitlines(), start=1):
-        header = HEADER.match(line)
+        header = HEADER_PATTERN.match(line)
         if header:
-            table = _name_table(header, counts)
+            table = _format_table_key(header, counts)
             lines.setdefault(table, number)
             continue
-        key = KEY.match(line)
+        key = KEY_PATTERN.match(line)
         if key:
             path = f'{table}.{key.group(1)}' if table else key.group(1)
             lines.setdefault(path, number)
@@ -45,7 +45,7 @@
 
 
 def find_line(lines: dict[str, int], key: str) -> int:
-    """Return the line of ``key`` or of its nearest enclosing table."""
+    """Return the line of ``key`` or of an enclosing table; 0 if unknown."""
     while key:
         if key in lines:
             return lines[key]
@@ -55,7 +55,7 @@
     return 0
 
 
-def _name_table(header: re.Match[str], counts: dict[str, int]) -> str:
+def _format_table_key(header: re.Match[str], counts: dict[str, int]) -> str:
     name = header.group(2).strip()
     if header.group(1) != '[[':
         return name
--- a/src/lifttrestle/internal/settings/load.py
+++ b/src/lifttrestle/internal/settings/load.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Reads a settings file and reports every fault in it at once."""
+"""Reads and validates a settings file; reports all of its faults at once."""
 
 import pathlib
 
@@ -36,27 +36,27 @@
 ) -> Result[RouterSettings, tuple[Fault, ...]]:
     """Return the settings, or every fault in the file.
 
-    Paths of files are taken as relative to the settings file.
+    Relative paths in the file are resolved against its directory.
     """
     try:
         text = path.read_text(encoding='utf-8')
         data = msgspec.toml.decode(text)
     except (OSError, ValueError) as error:
         return Failure((_make_file_fault(path, error),))
-    _resolve_files(data, path.parent)
+    _resolve_paths(data, path.parent)
     findings = [
         *find_schema_faults(RouterSettings, data),
         *find_rule_faults(data),
     ]
     if findings:
-        return Failure(_place_findings(path, text, findings))
+        return Failure(_make_faults(path, text, findings))
     return Success(msgspec.convert(data, RouterSettings))
 
 
 def load_settings(path: pathlib.Path) -> RouterSettings:
     """Return the settings in a file.
 
-    :raises SettingsInvalid: naming every fault, one a line.
+    :raises SettingsInvalid: listing every fault, one per line.
     """
     result = check_settings(path)
     if isinstance(result, Failure):
@@ -66,10 +66,10 @@
 
 
 def _make_file_fault(path: pathlib.Path, error: Exception) -> Fault:
-    return Fault(str(path), 0, '(file)', str(error), 'write a TOML file here')
+    return Fault(str(path), 0, '(file)', str(error), 'use a valid TOML file')
 
 
-def _place_findings(
+def _make_faults(
     path: pathlib.Path, text: str, findings: list[Finding]
 ) -> tuple[Fault, ...]:
     lines = find_lines(text)
@@ -79,14 +79,14 @@
     )
 
 
-def _resolve_files(data: dict[str, object], folder: pathlib.Path) -> None:
+def _resolve_paths(data: dict[str, object], folder: pathlib.Path) -> None:
     for section in data.values():
         if not isinstance(section, dict):
             continue
         for key, value in section.items():
-            if _names_file(key) and isinstance(value, str) and value:
+            if _is_path_key(key) and isinstance(value, str) and value:
                 section[key] = str(folder / value)
 
 
-def _names_file(key: str) -> bool:
+def _is_path_key(key: str) -> bool:
     return key in FILE_KEYS or key.endswith(('_certificate', '_key'))
--- a/src/lifttrestle/internal/settings/router.py
+++ b/src/lifttrestle/internal/settings/router.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""The one settings object of a router."""
+"""The settings of a router: all sections of its settings file."""
 
 from lifttrestle.internal.http.limits import HttpLimits
 from lifttrestle.internal.settings.sections import AdmissionSection
@@ -30,7 +30,7 @@
 
 
 class RouterSettings(Section, frozen=True):
-    """Everything a router is told; immutable once it is read."""
+    """The contents of a settings file; immutable."""
 
     router: RouterSection
     listen: ListenSection
--- a/src/lifttrestle/internal/settings/rules.py
+++ b/src/lifttrestle/internal/settings/rules.py
@@ -10,11 +10,11 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Rules that the values of a settings file must keep.
+"""Constraints on the values of a settings file beyond their types.
 
-They read the parsed document, not the finished settings, so that a file with
-faults of shape is told of its other faults too. A value of the wrong type is
-left to the check of the shape.
+They are checked on the parsed document, not on the converted settings, so
+that a file with schema faults has its other faults reported too. A value of
+the wrong type is skipped here: the schema check reports it.
 """
 
 import collections
@@ -33,7 +33,7 @@
 
 
 def find_rule_faults(data: Data) -> Iterator[Finding]:
-    """Yield a (key, value, remedy) for every broken rule."""
+    """Yield (key, value, remedy) for every violated constraint."""
     yield from _check_names(_get_table(data, 'router'))
     yield from _check_addresses(data)
     yield from _check_numbers(data)
@@ -48,7 +48,7 @@
     for name in ('name', 'vm', 'data_centre'):
         value = router.get(name)
         if isinstance(value, str) and not value.strip():
-            yield f'router.{name}', value, 'write a name'
+            yield f'router.{name}', value, 'use a name that is not blank'
 
 
 def _check_addresses(data: Data) -> Iterator[Finding]:
@@ -78,11 +78,11 @@
     for section in POSITIVE_SECTIONS:
         for name, value in _get_table(data, section).items():
             if _is_number(value) and not value > 0:
-                yield f'{section}.{name}', value, 'write a number above 0'
+                yield f'{section}.{name}', value, 'use a number above 0'
     for section in ZERO_ALLOWED_SECTIONS:
         for name, value in _get_table(data, section).items():
             if _is_number(value) and not value >= 0:
-                yield f'{section}.{name}', value, 'write 0 or more'
+                yield f'{section}.{name}', value, 'use a number of at least 0'
 
 
 def _check_upstreams(upstreams: list[Data]) -> Iterator[Finding]:
@@ -93,19 +93,20 @@
         path = f'upstream[{index}]'
         name = upstream.get('name')
         if names[str(name)] > 1:
-            yield f'{path}.name', name, 'give each upstream its own name'
+            yield f'{path}.name', name, 'give each upstream a unique name'
         for field in ('slots', 'prefill_tokens_per_second'):
             value = upstream.get(field)
             if _is_number(value) and not value > 0:
-                yield f'{path}.{field}', value, 'write a number above 0'
-        can = _get_table(upstream, 'can')
-        reports = can.get('reports_state') is True
+                yield f'{path}.{field}', value, 'use a number above 0'
+        capabilities = _get_table(upstream, 'can')
+        reports = capabilities.get('reports_state') is True
         if upstream.get('kind') == ENGINE and not reports:
             yield (
                 f'{path}.can.reports_state',
-                can.get('reports_state', '(missing)'),
-                'an engine must report its weights, or no answer of it can'
-                ' be known to be current; set it to true',
+                capabilities.get('reports_state', '(missing)'),
+                'an engine must report its model versions, otherwise the'
+                ' router cannot tell whether its answers are current; set'
+                ' this to true',
             )
 
 
@@ -122,14 +123,14 @@
     for key, value in places:
         if isinstance(value, str) and value:
             if not pathlib.Path(value).is_file():
-                yield key, value, 'no such file; write the path of a file'
-    for door in ('callers', 'operators'):
-        certificate = tls.get(f'{door}_certificate')
-        if bool(certificate) != bool(tls.get(f'{door}_key')):
+                yield key, value, 'no such file; use the path of a file'
+    for listener in ('callers', 'operators'):
+        certificate = tls.get(f'{listener}_certificate')
+        if bool(certificate) != bool(tls.get(f'{listener}_key')):
             yield (
-                f'tls.{door}_certificate',
+                f'tls.{listener}_certificate',
                 certificate,
-                'give both the certificate and the key, or neither',
+                'set both the certificate and the key, or neither',
             )
 
 
--- a/src/lifttrestle/internal/settings/schema.py
+++ b/src/lifttrestle/internal/settings/schema.py
@@ -10,10 +10,10 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Checks a parsed document against a model and finds every fault.
+"""Validates a parsed document against a model and finds every fault.
 
-The validation library stops at the first fault, so each field is converted
-on its own and each section is entered.
+The validation library stops at the first error. To find all of them, nested
+tables are checked recursively and each other field is converted separately.
 """
 
 from collections.abc import Iterator
@@ -28,14 +28,17 @@
 def find_schema_faults(
     model: type[msgspec.Struct], data: object, path: str = ''
 ) -> Iterator[Finding]:
-    """Yield a (key, value, remedy) for every fault below ``path``."""
+    """Yield (key, value, remedy) for every fault in ``data``.
+
+    :param path: the dotted key of ``data``, which prefixes all keys.
+    """
     if not isinstance(data, dict):
-        yield path, data, 'write a table here'
+        yield path, data, 'use a table'
         return
     fields = {item.name: item for item in msgspec.structs.fields(model)}
-    closed = model.__struct_config__.forbid_unknown_fields
+    forbids_unknown = model.__struct_config__.forbid_unknown_fields
     for name in data:
-        if closed and name not in fields:
+        if forbids_unknown and name not in fields:
             known = ', '.join(sorted(fields))
             yield (
                 _join(path, name),
@@ -49,23 +52,25 @@
             yield _join(path, name), MISSING, 'this key is required; add it'
 
 
-def _check_value(kind: object, value: object, path: str) -> Iterator[Finding]:
-    item = _get_item_model(kind)
-    if item is not None and isinstance(value, list):
+def _check_value(
+    annotation: object, value: object, path: str
+) -> Iterator[Finding]:
+    model = _get_item_model(annotation)
+    if model is not None and isinstance(value, list):
         for index, entry in enumerate(value):
-            yield from find_schema_faults(item, entry, f'{path}[{index}]')
+            yield from find_schema_faults(model, entry, f'{path}[{index}]')
         return
-    if isinstance(kind, type) and issubclass(kind, msgspec.Struct):
-        yield from find_schema_faults(kind, value, path)
+    if isinstance(annotation, type) and issubclass(annotation, msgspec.Struct):
+        yield from find_schema_faults(annotation, value, path)
         return
     try:
-        msgspec.convert(value, kind)
+        msgspec.convert(value, annotation)
     except msgspec.ValidationError as error:
         yield path, value, str(error).lower()
 
 
-def _get_item_model(kind: object) -> type[msgspec.Struct] | None:
-    for item in typing.get_args(kind):
+def _get_item_model(annotation: object) -> type[msgspec.Struct] | None:
+    for item in typing.get_args(annotation):
         if isinstance(item, type) and issubclass(item, msgspec.Struct):
             return item
     return None
--- a/src/lifttrestle/internal/settings/sections.py
+++ b/src/lifttrestle/internal/settings/sections.py
@@ -16,11 +16,11 @@
 
 
 class Section(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The base of every section: immutable, unknown keys refused."""
+    """Base class of the sections; immutable, rejects unknown keys."""
 
 
 class RouterSection(Section, frozen=True):
-    """Who this router is and where it runs."""
+    """Name and location of this router."""
 
     name: str
     vm: str
@@ -28,7 +28,7 @@
 
 
 class ListenSection(Section, frozen=True):
-    """The addresses on which the router listens; port 0 picks a free one."""
+    """Addresses to listen on (``HOST:PORT``); port 0 picks a free port."""
 
     callers: str
     operators: str
@@ -36,9 +36,12 @@
 
 
 class PlatformSection(Section, frozen=True):
-    """Where the platform's services are, and how long a call may take.
+    """Addresses of the platform's services and the timeout of their calls.
 
-    :ivar token_file: a file with the bearer token to send, or empty.
+    :ivar table: the address of the transactional table service.
+    :ivar objects: the address of the object store.
+    :ivar vms: the address of the VM list.
+    :ivar token_file: a file with the bearer token to send; empty for none.
     """
 
     table: str
@@ -49,14 +52,19 @@
 
 
 class PeersSection(Section, frozen=True):
-    """Routers of the same data centre to ask while the platform is out."""
+    """Exchange of state with other routers.
+
+    :ivar seeds: addresses of routers in the same data centre that are
+        contacted even if the platform is unavailable.
+    :ivar exchange_seconds: the interval between two exchanges.
+    """
 
     seeds: tuple[str, ...] = ()
     exchange_seconds: float = 1.0
 
 
 class TlsSection(Section, frozen=True):
-    """Certificate and key files for each door; empty means plain TCP."""
+    """Certificate and key files of each listener; empty for plain TCP."""
 
     callers_certificate: str = ''
     callers_key: str = ''
@@ -65,13 +73,16 @@
 
 
 class OperatorsSection(Section, frozen=True):
-    """Where the operators' tokens are kept."""
+    """Access control of the operators' interface.
+
+    :ivar tokens_file: a file with the operators' tokens; empty for none.
+    """
 
     tokens_file: str = ''
 
 
 class StatsdSection(Section, frozen=True):
-    """Where metrics go; without a host they are dropped."""
+    """Destination of metrics; without a host they are discarded."""
 
     host: str = ''
     port: int = 8125
@@ -79,18 +90,21 @@
 
 
 class LogSection(Section, frozen=True):
-    """How much is logged."""
+    """Logging.
+
+    :ivar level: the lowest level that is logged.
+    """
 
     level: str = 'info'
 
 
 class DeadlinesSection(Section, frozen=True):
-    """Times in seconds within which the steps of a request must end.
+    """Timeouts in seconds for the steps of a request.
 
     :ivar request: from the request's head to the first byte of its answer.
-    :ivar connect: one connection attempt to an upstream.
+    :ivar connect: for one connection attempt to an upstream.
     :ivar first_byte: from sending to the head of an upstream's answer.
-    :ivar stall: the longest silence within a stream.
+    :ivar stall: the longest pause between two parts of a stream.
     """
 
     request: float = 60.0
@@ -100,11 +114,11 @@
 
 
 class AdmissionSection(Section, frozen=True):
-    """Bounds on the work that the router accepts.
+    """Limits on the requests that the router accepts.
 
-    :ivar running: requests that the router works on at the same time.
-    :ivar queue: requests that may wait for their turn.
-    :ivar retry_share: retries allowed per request, over time.
+    :ivar running: the maximum number of concurrent requests.
+    :ivar queue: the maximum number of queued requests.
+    :ivar retry_share: retries credited per request to the retry budget.
     """
 
     running: int = 1000
@@ -113,12 +127,13 @@
 
 
 class StopSection(Section, frozen=True):
-    """How a planned stop goes.
+    """Timeouts of a graceful shutdown.
 
-    :ivar notice_seconds: how long the listener stays open while the
-        balancer learns that the router is leaving.
-    :ivar grace_seconds: how long all that follows the notice may take:
-        running requests first, then records and leaving the list.
+    :ivar notice_seconds: how long the listener stays open, so that the load
+        balancer can detect that the router is about to stop.
+    :ivar grace_seconds: the time for all steps after that: the running
+        requests end, then pending records are written and the router is
+        removed from the list of routers.
     """
 
     notice_seconds: float = 5.0
@@ -126,7 +141,16 @@
 
 
 class ControlSection(Section, frozen=True):
-    """How often the control tasks look at the platform and upstreams."""
+    """Intervals and tolerances of the control tasks.
+
+    :ivar table_poll_seconds: the interval between reads of the table.
+    :ivar vms_poll_seconds: the interval between reads of the VM list.
+    :ivar probe_seconds: the interval between probes of an upstream.
+    :ivar clock_error_seconds: the bound assumed on the error of the
+        routers' clocks.
+    :ivar hold_seconds: how long a request may wait while the definition
+        that it needs is being changed.
+    """
 
     table_poll_seconds: float = 1.0
     vms_poll_seconds: float = 1.0
--- a/src/lifttrestle/internal/settings/upstream.py
+++ b/src/lifttrestle/internal/settings/upstream.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Settings of one upstream: what it is, where it is, what it can do."""
+"""Settings of one upstream: its kind, location and capabilities."""
 
 import enum
 
@@ -18,7 +18,10 @@
 
 
 class UpstreamKind(enum.Enum):
-    """What stands behind an upstream's address."""
+    """The kind of server behind the address of an upstream.
+
+    ``ENGINE`` serves models, ``SERVICE`` is a plain HTTP service.
+    """
 
     ENGINE = 'engine'
     SERVICE = 'service'
@@ -27,14 +30,14 @@
 class UpstreamCapabilities(
     msgspec.Struct, frozen=True, forbid_unknown_fields=True
 ):
-    """What an upstream offers beyond its published interface.
+    """Optional features that an upstream supports.
 
-    :ivar reports_state: it tells its incarnation, versions and drain state.
-    :ivar resumes_streams: a stream can be read again from an index.
-    :ivar continues_text: it goes on from a partial answer in the request.
-    :ivar echoes_request_id: its answers repeat ``x-request-id``.
-    :ivar checks_fencing: it refuses orders with an old fencing number.
-    :ivar drops_repeats: it runs a request with a known key only once.
+    :ivar reports_state: reports incarnation, versions and drain state.
+    :ivar resumes_streams: can resend a stream from a given event index.
+    :ivar continues_text: can continue a partial answer in the request.
+    :ivar echoes_request_id: returns ``x-request-id`` in its answers.
+    :ivar checks_fencing: rejects orders with an outdated fencing number.
+    :ivar drops_repeats: deduplicates requests by their idempotency key.
     """
 
     reports_state: bool = False
@@ -51,8 +54,8 @@
     """One replica of a model engine or plain service.
 
     :ivar group: the service that the replica belongs to.
-    :ivar slots: requests that it works on at the same time.
-    :ivar prefill_tokens_per_second: a first guess, corrected by answers.
+    :ivar slots: the number of requests that it runs concurrently.
+    :ivar prefill_tokens_per_second: the estimated prefill rate.
     """
 
     name: str
--- a/tests/cover/test_settings.py
+++ b/tests/cover/test_settings.py
@@ -10,7 +10,10 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Every fault in a settings file at once, with file, key, value, remedy."""
+"""Tests of the settings: all faults of a file are reported at once.
+
+Each fault names file, line, key, value and remedy.
+"""
 
 import pathlib
 import tempfile
@@ -24,7 +27,7 @@
 from lifttrestle.internal.settings.load import check_settings
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent.parent
-BAD = """\
+INVALID = """\
 [router]
 name = ""
 vm = 3
@@ -81,7 +84,7 @@
 
 
 class TestSettings(unittest.TestCase):
-    def check(self, text: str) -> tuple[Fault, ...]:
+    def find_faults(self, text: str) -> tuple[Fault, ...]:
         with tempfile.TemporaryDirectory() as folder:
             path = pathlib.Path(folder) / 'router.toml'
             path.write_text(text)
@@ -90,7 +93,7 @@
         return result.failure()
 
     def test_every_fault_at_once_with_its_line(self) -> None:
-        faults = self.check(BAD)
+        faults = self.find_faults(INVALID)
         found = {(fault.key, fault.line) for fault in faults}
         self.assertEqual(found, EXPECTED)
         for fault in faults:
@@ -98,7 +101,7 @@
             self.assertIn(fault.value, str(fault))
 
     def test_file_that_is_not_toml(self) -> None:
-        (fault,) = self.check('[router\n')
+        (fault,) = self.find_faults('[router\n')
         self.assertEqual(fault.key, '(file)')
 
     def test_examples_are_good(self) -> None:
@@ -108,8 +111,8 @@
             self.assertIsInstance(check_settings(path), Success, path)
 
     def test_command_exits_with_2_on_a_fault(self) -> None:
-        good = next((ROOT / 'examples').glob('*/*-1.toml'))
-        self.assertEqual(main(['check', str(good)]), 0)
+        valid = next((ROOT / 'examples').glob('*/*-1.toml'))
+        self.assertEqual(main(['check', str(valid)]), 0)
         self.assertEqual(main(['check', '/no/such/file']), 2)
 
 
