--- a/src/lifttrestle/internal/store/http_objects.py
+++ b/src/lifttrestle/internal/store/http_objects.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""The object store over HTTP, with one path for each object."""
+"""HTTP client of the object store; each object has its own path."""
 
 import urllib.parse
 
@@ -18,35 +18,45 @@
 from lifttrestle.internal.http.json_client import JsonClient
 from lifttrestle.internal.store.objects import ObjectStore
 
-OK = (200, 201, 204)
+SUCCESS_STATUSES = (200, 201, 204)
 NOT_FOUND = 404
 
 
 class HttpObjects(ObjectStore):
-    """Calls ``PUT`` and ``GET`` on ``/BUCKET/KEY``."""
+    """Stores objects with ``PUT`` and ``GET`` of ``/BUCKET/KEY``.
+
+    :param bucket: the bucket that holds the objects.
+    """
 
     def __init__(self, client: JsonClient, bucket: str) -> None:
         self._client = client
         self._bucket = bucket
 
     async def put(self, key: str, body: bytes) -> None:
-        """Store a body under ``key``."""
-        answer = await self._client.call('PUT', self._name(key), body)
-        if answer.status not in OK:
+        """Store a body under ``key``.
+
+        :raises PlatformUnavailable: without an answer that confirms it; the
+            body may have been stored.
+        """
+        answer = await self._client.call('PUT', self._build_target(key), body)
+        if answer.status not in SUCCESS_STATUSES:
             raise PlatformUnavailable(
                 f'the object store answered {answer.status} to PUT {key!r}'
             )
 
     async def get(self, key: str) -> bytes | None:
-        """Return the body under ``key``, or None if there is none."""
-        answer = await self._client.call('GET', self._name(key))
+        """Return the body under ``key``, or None if there is none.
+
+        :raises PlatformUnavailable: without a usable answer.
+        """
+        answer = await self._client.call('GET', self._build_target(key))
         if answer.status == NOT_FOUND:
             return None
-        if answer.status not in OK:
+        if answer.status not in SUCCESS_STATUSES:
             raise PlatformUnavailable(
                 f'the object store answered {answer.status} to GET {key!r}'
             )
         return answer.body
 
-    def _name(self, key: str) -> str:
+    def _build_target(self, key: str) -> str:
         return f'/{self._bucket}/{urllib.parse.quote(key)}'
--- a/src/lifttrestle/internal/store/http_table.py
+++ b/src/lifttrestle/internal/store/http_table.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""The table service over HTTP."""
+"""HTTP client of the table service."""
 
 import typing
 
@@ -29,19 +29,19 @@
 
 
 class ReadAnswer(msgspec.Struct, frozen=True):
-    """The rows that a read or a scan found."""
+    """Answer to a read or a scan: the rows that were found."""
 
     rows: tuple[Row, ...]
 
 
 class CommitAnswer(msgspec.Struct, frozen=True):
-    """The number of a commit."""
+    """Answer to a transaction that was committed: the commit number."""
 
     commit: int
 
 
 class ConflictAnswer(msgspec.Struct, frozen=True):
-    """The keys whose checks failed."""
+    """Answer to a rejected transaction: the keys whose checks failed."""
 
     failed: tuple[str, ...]
 
@@ -64,7 +64,10 @@
         return list(_decode(body, ReadAnswer).rows)
 
     async def transact(self, transaction: Transaction) -> int:
-        """Apply the writes if all checks hold; return the commit number."""
+        """Apply the writes if all checks hold; return the commit number.
+
+        :raises ConditionFailed: with the keys whose checks failed.
+        """
         body = await self._call('/v1/transact', transaction)
         return _decode(body, CommitAnswer).commit
 
@@ -85,5 +88,5 @@
         return msgspec.json.decode(body, type=model)
     except msgspec.MsgspecError as error:
         raise PlatformUnavailable(
-            f'the table service sent an unreadable answer: {error}'
+            f'the answer of the table service is malformed: {error}'
         ) from error
--- a/src/lifttrestle/internal/store/http_vms.py
+++ b/src/lifttrestle/internal/store/http_vms.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""The VM list over HTTP."""
+"""HTTP client of the VM list."""
 
 import msgspec
 
@@ -23,19 +23,22 @@
 
 
 class VmsAnswer(msgspec.Struct, frozen=True):
-    """The whole list."""
+    """Answer of the platform: all VMs that it lists."""
 
     vms: tuple[Vm, ...]
 
 
 class HttpVms(VmList):
-    """Calls ``GET /v1/vms``."""
+    """Reads the VM list with ``GET /v1/vms``."""
 
     def __init__(self, client: JsonClient) -> None:
         self._client = client
 
     async def list_vms(self) -> dict[str, Vm]:
-        """Return the listed VMs by name."""
+        """Return the listed VMs by name.
+
+        :raises PlatformUnavailable: without a usable answer.
+        """
         answer = await self._client.call('GET', '/v1/vms')
         if answer.status != OK:
             raise PlatformUnavailable(f'the VM list answered {answer.status}')
@@ -43,6 +46,6 @@
             listed = msgspec.json.decode(answer.body, type=VmsAnswer)
         except msgspec.MsgspecError as error:
             raise PlatformUnavailable(
-                f'the VM list sent an unreadable answer: {error}'
+                f'the answer of the VM list is malformed: {error}'
             ) from error
         return {vm.name: vm for vm in listed.vms}
--- a/src/lifttrestle/internal/store/memory_table.py
+++ b/src/lifttrestle/internal/store/memory_table.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""A table service in memory: the stand-in's heart, and a fake for tests."""
+"""An in-memory table service for the table stand-in and for tests."""
 
 import msgspec
 
@@ -22,7 +22,11 @@
 
 
 class MemoryTable(TableService):
-    """Keeps rows in a dictionary; each transaction is one step."""
+    """Keeps the rows in a dictionary; transactions are atomic.
+
+    A transaction runs without an ``await``, so that no other task of the
+    event loop sees part of it.
+    """
 
     def __init__(self) -> None:
         self._rows: dict[str, Row] = {}
@@ -38,7 +42,10 @@
         return [self._rows[key] for key in keys]
 
     async def transact(self, transaction: Transaction) -> int:
-        """Apply the writes if all checks hold."""
+        """Apply the writes if all checks hold; return the commit number.
+
+        :raises ConditionFailed: with the keys whose checks failed.
+        """
         failed = tuple(
             check.key
             for check in transaction.checks
@@ -48,7 +55,7 @@
             raise ConditionFailed(failed)
         self._commit += 1
         for write in transaction.writes:
-            if write.removes:
+            if write.is_removal:
                 self._rows.pop(write.key, None)
                 continue
             value = msgspec.Raw(bytes(write.value))
--- a/src/lifttrestle/internal/store/objects.py
+++ b/src/lifttrestle/internal/store/objects.py
@@ -10,18 +10,25 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""The platform's object store, as the router sees it."""
+"""Interface of the platform's object store."""
 
 import abc
 
 
 class ObjectStore(abc.ABC):
-    """Immutable bodies under string keys."""
+    """Stores immutable byte strings by key."""
 
     @abc.abstractmethod
     async def put(self, key: str, body: bytes) -> None:
-        """Store a body; raises ``PlatformUnavailable`` without an answer."""
+        """Store a body under ``key``.
+
+        :raises PlatformUnavailable: without a usable answer; the body may
+            have been stored.
+        """
 
     @abc.abstractmethod
     async def get(self, key: str) -> bytes | None:
-        """Return a body or None; raises ``PlatformUnavailable``."""
+        """Return the body under ``key``, or None if there is none.
+
+        :raises PlatformUnavailable: without a usable answer.
+        """
--- a/src/lifttrestle/internal/store/row.py
+++ b/src/lifttrestle/internal/store/row.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""A row of the table service and what a transaction says about it."""
+"""Rows of the table service, and transactions on them."""
 
 import msgspec
 
@@ -19,7 +19,11 @@
 
 
 class Row(msgspec.Struct, frozen=True):
-    """One row: its key, its JSON value and the commit that wrote it."""
+    """A row of the table.
+
+    :ivar value: the encoded JSON value.
+    :ivar version: the number of the commit that wrote the row.
+    """
 
     key: str
     value: msgspec.Raw
@@ -27,31 +31,34 @@
 
 
 class Check(msgspec.Struct, frozen=True):
-    """A condition: the row still has this version; ``ABSENT`` for none."""
+    """Precondition of a transaction: the version of a row is unchanged.
+
+    :ivar version: the expected version, ``ABSENT`` if the row must not exist.
+    """
 
     key: str
     version: int
 
 
 class Write(msgspec.Struct, frozen=True):
-    """Sets a row to a JSON value, or removes it with ``REMOVED``."""
+    """Sets a row to an encoded JSON value; ``REMOVED`` deletes the row."""
 
     key: str
     value: msgspec.Raw
 
     @property
-    def removes(self) -> bool:
-        """Return whether the row is to be removed."""
+    def is_removal(self) -> bool:
+        """Return whether the write deletes the row."""
         return bytes(self.value) == bytes(REMOVED)
 
 
 def make_write(key: str, value: object) -> Write:
-    """Return a write that sets a row to ``value``, encoded as JSON."""
+    """Return the write that sets a row to ``value``, encoded as JSON."""
     return Write(key, msgspec.Raw(msgspec.json.encode(value)))
 
 
 class Transaction(msgspec.Struct, frozen=True):
-    """Writes that take effect together if every check holds."""
+    """Writes that are applied atomically if every check holds."""
 
     checks: tuple[Check, ...]
     writes: tuple[Write, ...]
--- a/src/lifttrestle/internal/store/table.py
+++ b/src/lifttrestle/internal/store/table.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""The platform's transactional table service, as the router sees it."""
+"""Interface of the platform's transactional table service."""
 
 import abc
 
@@ -19,10 +19,10 @@
 
 
 class TableService(abc.ABC):
-    """Rows of JSON under string keys, with conditional transactions.
+    """Stores JSON rows by key, with conditional transactions.
 
-    Every method raises ``PlatformUnavailable`` when there is no usable
-    answer; a transaction may then have taken effect.
+    Every method raises ``PlatformUnavailable`` without a usable answer; a
+    transaction may have been committed nevertheless.
     """
 
     @abc.abstractmethod
@@ -37,6 +37,6 @@
     async def transact(self, transaction: Transaction) -> int:
         """Apply the writes if all checks hold; return the commit number.
 
-        :raises ConditionFailed: naming the keys whose checks failed;
-            nothing was written.
+        :raises ConditionFailed: with the keys whose checks failed; nothing
+            was written.
         """
--- a/src/lifttrestle/internal/store/vm.py
+++ b/src/lifttrestle/internal/store/vm.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""One entry of the platform's VM list."""
+"""Entries of the platform's VM list."""
 
 import enum
 
@@ -18,14 +18,14 @@
 
 
 class VmState(enum.Enum):
-    """What the platform says about a VM that it lists."""
+    """State of a listed VM; ``LEAVING`` means that it will be removed."""
 
     LIVE = 'live'
     LEAVING = 'leaving'
 
 
 class Vm(msgspec.Struct, frozen=True):
-    """A VM that exists; one that is gone is no longer listed."""
+    """A VM that the platform lists; a removed VM is not listed."""
 
     name: str
     data_centre: str
--- a/src/lifttrestle/internal/store/vms.py
+++ b/src/lifttrestle/internal/store/vms.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""The platform's VM list, as the router sees it."""
+"""Interface of the platform's VM list."""
 
 import abc
 
@@ -18,8 +18,11 @@
 
 
 class VmList(abc.ABC):
-    """A lagging list of live and leaving VMs."""
+    """Lists the live and leaving VMs; the list may be out of date."""
 
     @abc.abstractmethod
     async def list_vms(self) -> dict[str, Vm]:
-        """Return the listed VMs by name; raises ``PlatformUnavailable``."""
+        """Return the listed VMs by name.
+
+        :raises PlatformUnavailable: without a usable answer.
+        """
