--- a/src/lifttrestle/internal/settings/lines.py
+++ b/src/lifttrestle/internal/settings/lines.py
@@ -12,7 +12,7 @@
 
 """Line numbers of the keys in a TOML file.
 
-The TOML library does not keep line numbers. This module recognizes table
+The TOML library does not keep line numbers. This module finds table
 headers and the keys at the start of a line, which suffices for error
 messages; a key within an inline table gets the line of the enclosing key.
 """
--- a/src/lifttrestle/internal/settings/sections.py
+++ b/src/lifttrestle/internal/settings/sections.py
@@ -28,7 +28,7 @@
 
 
 class ListenSection(Section, frozen=True):
-    """Addresses to listen on (``HOST:PORT``); port 0 picks a free port."""
+    """Addresses to listen on (``IP:PORT``); port 0 picks a free port."""
 
     callers: str
     operators: str
