--- a/benchmarks/latency.py
+++ b/benchmarks/latency.py
@@ -26,7 +26,7 @@
 import msgspec
 
 from lifttrestle.internal.clock.system import SystemClock
-from lifttrestle.internal.http.address import check_address
+from lifttrestle.internal.http.address import parse_address
 from lifttrestle.internal.http.client_pool import ClientPool
 from lifttrestle.internal.http.head import RequestHead
 from tests.support.deployment import Deployment
@@ -148,8 +148,8 @@
 async def run(engine: str, router: str) -> None:
     """Measure everything."""
     clock = SystemClock()
-    direct = ClientPool(check_address(engine), clock, 5.0)
-    routed = ClientPool(check_address(router), clock, 5.0)
+    direct = ClientPool(parse_address(engine), clock, 5.0)
+    routed = ClientPool(parse_address(router), clock, 5.0)
     await measure_whole(direct, routed)
     await measure_streams(direct, routed)
     await measure_under_streams(direct, routed)
--- a/src/lifttrestle/internal/cli/fleet_router.py
+++ b/src/lifttrestle/internal/cli/fleet_router.py
@@ -92,7 +92,7 @@
 ) -> int:
     # Imported here so that the operator's commands start without it.
     from lifttrestle.internal.fleet.process import FleetRouterProcess
-    from lifttrestle.internal.http.address import check_address
+    from lifttrestle.internal.http.address import parse_address
     from lifttrestle.internal.http.json_client import JsonClient
     from lifttrestle.internal.platform import engine_calls
     from lifttrestle.internal.platform.request_dialect import PlatformDialect
@@ -106,7 +106,7 @@
     gc.enable()
     clock = SystemClock()
     client = JsonClient(
-        check_address(settings.store.address), clock, STORE_SECONDS
+        parse_address(settings.store.address), clock, STORE_SECONDS
     )
     process = FleetRouterProcess(
         settings,
--- a/src/lifttrestle/internal/cli/held.py
+++ b/src/lifttrestle/internal/cli/held.py
@@ -34,7 +34,7 @@
 from lifttrestle.internal.fleet.state.rows import RowStore
 from lifttrestle.internal.fleet.state.rows import RowWrite
 from lifttrestle.internal.fleet.state.rows import VersionedRow
-from lifttrestle.internal.http.address import check_address
+from lifttrestle.internal.http.address import parse_address
 from lifttrestle.internal.http.json_client import JsonClient
 from lifttrestle.internal.platform.row_store import PlatformRowStore
 
@@ -75,7 +75,7 @@
 def run(options: argparse.Namespace) -> int:
     """List what is held, or lift one; exit 1 if that one is not held."""
     settings = load_node_settings(find_node_file(options.settings))
-    address = check_address(settings.store.address)
+    address = parse_address(settings.store.address)
     store = PlatformRowStore(JsonClient(address, SystemClock(), STORE_SECONDS))
     try:
         if options.lift:
--- a/src/lifttrestle/internal/cli/intent_client.py
+++ b/src/lifttrestle/internal/cli/intent_client.py
@@ -18,7 +18,7 @@
 
 from lifttrestle.errors import SettingsInvalid
 from lifttrestle.internal.clock.system import SystemClock
-from lifttrestle.internal.http.address import check_address
+from lifttrestle.internal.http.address import parse_address
 from lifttrestle.internal.http.answer import Answer
 from lifttrestle.internal.http.json_client import JsonClient
 
@@ -37,7 +37,7 @@
         self, router: str, token_file: pathlib.Path, authority: object
     ) -> None:
         try:
-            self._address = check_address(router)
+            self._address = parse_address(router)
             self._token = token_file.read_text(encoding='utf-8').strip()
         except (OSError, ValueError) as error:
             raise SettingsInvalid(str(error)) from error
--- a/src/lifttrestle/internal/cli/limits.py
+++ b/src/lifttrestle/internal/cli/limits.py
@@ -22,7 +22,7 @@
 from lifttrestle.internal.fleet.limits.listing import ListedLimit
 from lifttrestle.internal.fleet.path.handlers import LIMITS_PATH
 from lifttrestle.internal.http.address import Address
-from lifttrestle.internal.http.address import check_address
+from lifttrestle.internal.http.address import parse_address
 from lifttrestle.internal.http.json_client import JsonClient
 from lifttrestle.internal.intake.decoding import decode_json
 
@@ -57,7 +57,7 @@
 def run(options: argparse.Namespace) -> int:
     """Print a line for each upstream and router that was asked."""
     try:
-        addresses = [check_address(text) for text in options.routers]
+        addresses = [parse_address(text) for text in options.routers]
     except ValueError as error:
         return report_fault(error, 'write HOST:PORT of its metrics')
     return asyncio.run(_print_limits(addresses))
--- a/src/lifttrestle/internal/fleet/path/watched_work.py
+++ b/src/lifttrestle/internal/fleet/path/watched_work.py
@@ -61,7 +61,7 @@
     :raises RequestRefused: if the process stops first.
     """
     working = asyncio.create_task(work)
-    disconnected = asyncio.create_task(connection.wait_gone())
+    disconnected = asyncio.create_task(connection.wait_disconnected())
     ending = shutdown.ending
     try:
         await asyncio.wait(
--- a/src/lifttrestle/internal/fleet/policy/engine_costs.py
+++ b/src/lifttrestle/internal/fleet/policy/engine_costs.py
@@ -109,7 +109,7 @@
 
 def lacks_connection(upstream: FleetUpstream) -> bool:
     """Return whether the upstream has no idle connection to reuse."""
-    return not upstream.pool.has_kept
+    return not upstream.pool.has_idle
 
 
 def count_prompt_tokens(
--- a/src/lifttrestle/internal/fleet/process.py
+++ b/src/lifttrestle/internal/fleet/process.py
@@ -67,7 +67,7 @@
 from lifttrestle.internal.fleet.stop_sequence import stop_in_order
 from lifttrestle.internal.fleet.usage.ledger import UsageLedger
 from lifttrestle.internal.http.address import Address
-from lifttrestle.internal.http.address import check_address
+from lifttrestle.internal.http.address import parse_address
 from lifttrestle.internal.http.limits import HttpLimits
 from lifttrestle.internal.http.server import HttpServer
 from lifttrestle.internal.intake.refusals import InputRefusals
@@ -406,20 +406,20 @@
         """Listen, and begin to follow the shared tables."""
         settings = self._settings
         self.callers_address = await self._callers.start(
-            check_address(settings.callers_address)
+            parse_address(settings.callers_address)
         )
         self.ready_address = await self._probes.start(
-            check_address(settings.ready_address)
+            parse_address(settings.ready_address)
         )
         if settings.peers_address:
             peers = await self.relay_server.start(
-                check_address(settings.peers_address)
+                parse_address(settings.peers_address)
             )
             # Loads are told by datagrams to the same address.
             await self._peer_loads.start(peers)
             self.roster.address = str(peers)
         if settings.metrics_address:
-            await self._metrics.start(check_address(settings.metrics_address))
+            await self._metrics.start(parse_address(settings.metrics_address))
         LOG.info(
             'router.started',
             callers=str(self.callers_address),
--- a/src/lifttrestle/internal/fleet/state/cache_stores.py
+++ b/src/lifttrestle/internal/fleet/state/cache_stores.py
@@ -22,7 +22,7 @@
 from lifttrestle.internal.clock.clock import Clock
 from lifttrestle.internal.fleet.state.catalogue import CacheStoreFacts
 from lifttrestle.internal.fleet.state.reach import Reachability
-from lifttrestle.internal.http.address import check_address
+from lifttrestle.internal.http.address import parse_address
 from lifttrestle.internal.http.client_pool import ClientPool
 
 # The same as for an upstream.
@@ -58,7 +58,7 @@
         store = self._stores.get(facts.address)
         if store is None:
             pool = ClientPool(
-                check_address(facts.address), self._clock, CONNECT_SECONDS
+                parse_address(facts.address), self._clock, CONNECT_SECONDS
             )
             store = CacheStore(facts.address, facts.data_centre, pool)
             self._stores[facts.address] = store
--- a/src/lifttrestle/internal/fleet/state/directory.py
+++ b/src/lifttrestle/internal/fleet/state/directory.py
@@ -27,7 +27,7 @@
 from lifttrestle.internal.fleet.state.upstream_entry import StartEnd
 from lifttrestle.internal.fleet.state.upstream_entry import StartOrder
 from lifttrestle.internal.fleet.state.upstream_entry import UpstreamEntry
-from lifttrestle.internal.http.address import check_address
+from lifttrestle.internal.http.address import parse_address
 from lifttrestle.internal.http.client_pool import ClientPool
 from lifttrestle.internal.intake.refusals import InputRefusals
 from lifttrestle.internal.telemetry.event_log import get_event_log
@@ -178,7 +178,7 @@
 
     def _add(self, entry: UpstreamEntry) -> None:
         self.changes += 1
-        address = check_address(entry.address)
+        address = parse_address(entry.address)
         pool = ClientPool(address, self._clock, CONNECT_SECONDS)
         upstream = FleetUpstream(
             entry,
@@ -274,7 +274,7 @@
 
     :raises ValueError: if one of them is not valid.
     """
-    check_address(entry.address)
+    parse_address(entry.address)
     if INSTANCE.fullmatch(entry.instance) is None:
         raise ValueError(
             f'{entry.instance!r} is not a valid instance name; use 1 to 200'
--- a/src/lifttrestle/internal/fleet/state/peer_datagrams.py
+++ b/src/lifttrestle/internal/fleet/state/peer_datagrams.py
@@ -21,7 +21,7 @@
 from lifttrestle.internal.fleet.state.load_messages import MAX_DATAGRAM_BYTES
 from lifttrestle.internal.fleet.state.roster import Roster
 from lifttrestle.internal.http.address import Address
-from lifttrestle.internal.http.address import check_address
+from lifttrestle.internal.http.address import parse_address
 from lifttrestle.internal.intake.refusals import InputRefusals
 from lifttrestle.internal.telemetry.event_log import get_event_log
 
@@ -83,5 +83,5 @@
         if len(data) > MAX_DATAGRAM_BYTES:
             LOG.warning('peers.message_too_long', bytes=len(data))
             return
-        address = check_address(text)
+        address = parse_address(text)
         self._transport.sendto(data, (address.host, address.port))
--- a/src/lifttrestle/internal/fleet/state/relay_follower.py
+++ b/src/lifttrestle/internal/fleet/state/relay_follower.py
@@ -32,8 +32,8 @@
 from lifttrestle.internal.fleet.state.relay_messages import TableNews
 from lifttrestle.internal.fleet.state.roster import Roster
 from lifttrestle.internal.fleet.state.table_watch import TableWatch
-from lifttrestle.internal.http.address import check_address
-from lifttrestle.internal.http.byte_stream import bound_silence
+from lifttrestle.internal.http.address import parse_address
+from lifttrestle.internal.http.byte_stream import set_tcp_timeouts
 from lifttrestle.internal.intake.decoding import decode_msgpack
 from lifttrestle.internal.intake.fault import InputFault
 from lifttrestle.internal.routing.rendezvous import rank_names
@@ -174,12 +174,12 @@
             self._avoided_until[key] = now + AVOID_SECONDS
 
     async def _follow(self, key: str) -> None:
-        address = check_address(self._roster.get_address(key))
+        address = parse_address(self._roster.get_address(key))
         async with asyncio.timeout(CONNECT_SECONDS):
             reader, writer = await asyncio.open_connection(
                 address.host, address.port
             )
-        bound_silence(writer.transport)
+        set_tcp_timeouts(writer.transport)
         LOG.info('relay.asked', router=key)
         try:
             asked_at = [self._question(writer, 0)]
--- a/src/lifttrestle/internal/fleet/state/relay_server.py
+++ b/src/lifttrestle/internal/fleet/state/relay_server.py
@@ -24,7 +24,7 @@
 from lifttrestle.internal.fleet.state.relay_messages import read_frame
 from lifttrestle.internal.fleet.state.table_watch import TableWatch
 from lifttrestle.internal.http.address import Address
-from lifttrestle.internal.http.byte_stream import bound_silence
+from lifttrestle.internal.http.byte_stream import set_tcp_timeouts
 from lifttrestle.internal.http.connection_tasks import ConnectionTasks
 from lifttrestle.internal.intake.decoding import decode_msgpack
 from lifttrestle.internal.telemetry.event_log import get_event_log
@@ -81,17 +81,17 @@
         """Stop listening and cut every follower off."""
         if self._server is not None:
             self._server.close()
-        await self._tasks.end()
+        await self._tasks.cancel()
 
     def _accept(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        self._tasks.begin(self._serve(reader, writer), writer)
+        self._tasks.start(self._serve(reader, writer), writer)
 
     async def _serve(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        bound_silence(writer.transport)
+        set_tcp_timeouts(writer.transport)
         follower = Follower(writer)
         if len(self._followers) >= MAX_FOLLOWERS:
             writer.transport.abort()
--- a/src/lifttrestle/internal/fleet/state/roster.py
+++ b/src/lifttrestle/internal/fleet/state/roster.py
@@ -34,7 +34,7 @@
 from lifttrestle.internal.fleet.state.rows import RowStore
 from lifttrestle.internal.fleet.state.rows import RowWrite
 from lifttrestle.internal.fleet.state.rows import VersionedRow
-from lifttrestle.internal.http.address import check_address
+from lifttrestle.internal.http.address import parse_address
 from lifttrestle.internal.intake.decoding import decode_json
 from lifttrestle.internal.intake.refusals import InputRefusals
 from lifttrestle.internal.telemetry.event_log import get_event_log
@@ -346,7 +346,7 @@
         try:
             row = decode_json(value, RouterRow)
             if row.address:
-                check_address(row.address)
+                parse_address(row.address)
         except ValueError as error:
             self._refusals.note('routers', key, error)
             return RouterRow('')
--- a/src/lifttrestle/internal/fleet/stop_sequence.py
+++ b/src/lifttrestle/internal/fleet/stop_sequence.py
@@ -64,7 +64,7 @@
         'router.stopped',
         after_ms=_get_passed_ms(shutdown),
         every_request_ended=whole,
-        cut=callers.cut,
+        cut=callers.aborted_requests,
         given_up=shutdown.given_up,
     )
     return whole
--- a/src/lifttrestle/internal/http/address.py
+++ b/src/lifttrestle/internal/http/address.py
@@ -32,7 +32,7 @@
         return f'{self.host}:{self.port}'
 
 
-def check_address(text: str) -> Address:
+def parse_address(text: str) -> Address:
     """Return the address that ``text`` names, or raise ``ValueError``.
 
     :param text: ``IP:PORT``; names are refused, since the platform gives
--- a/src/lifttrestle/internal/http/byte_stream.py
+++ b/src/lifttrestle/internal/http/byte_stream.py
@@ -71,7 +71,7 @@
         """Keep the transport and bound its silence."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        bound_silence(transport)
+        set_tcp_timeouts(transport)
 
     def data_received(self, data: bytes) -> None:
         """Hold what arrived until it is read."""
@@ -155,7 +155,7 @@
         waiter.set_result(None)
 
 
-def bound_silence(transport: asyncio.BaseTransport) -> None:
+def set_tcp_timeouts(transport: asyncio.BaseTransport) -> None:
     """Break a connection whose other side no longer acknowledges."""
     link = transport.get_extra_info('socket')
     if link is None:
--- a/src/lifttrestle/internal/http/client_pool.py
+++ b/src/lifttrestle/internal/http/client_pool.py
@@ -41,7 +41,7 @@
         self.idle_seconds = IDLE_SECONDS
 
     @property
-    def has_kept(self) -> bool:
+    def has_idle(self) -> bool:
         """Return whether a connection is kept that should be of use."""
         if not self._idle:
             return False
--- a/src/lifttrestle/internal/http/connection_tasks.py
+++ b/src/lifttrestle/internal/http/connection_tasks.py
@@ -40,7 +40,7 @@
         """Return how many connections are served."""
         return len(self._tasks)
 
-    def begin(
+    def start(
         self,
         work: Coroutine[Any, Any, None],
         writer: asyncio.StreamWriter,
@@ -50,7 +50,7 @@
         self._tasks.add(task)
         task.add_done_callback(lambda task: self._note_end(task, writer))
 
-    async def end(self) -> None:
+    async def cancel(self) -> None:
         """Cancel every task and wait until they have ended."""
         tasks = tuple(self._tasks)
         for task in tasks:
--- a/src/lifttrestle/internal/http/hop_headers.py
+++ b/src/lifttrestle/internal/http/hop_headers.py
@@ -47,7 +47,7 @@
     return tuple(item for item in headers if item[0] not in dropped)
 
 
-def read_keep_alive(value: str) -> float | None:
+def parse_keep_alive(value: str) -> float | None:
     """Return the seconds for which a ``Keep-Alive`` header allows rest."""
     for item in value.split(','):
         text = item.strip().lower()
--- a/src/lifttrestle/internal/http/server.py
+++ b/src/lifttrestle/internal/http/server.py
@@ -88,7 +88,7 @@
         return len(self._busy)
 
     @property
-    def cut(self) -> int:
+    def aborted_requests(self) -> int:
         """Return how many requests the stop has cut."""
         return self._cut
 
@@ -117,7 +117,7 @@
         self._cut = len(self._busy)
         complete = not self._cut
         await self._wait_closed(deadline)
-        await self._tasks.end()
+        await self._tasks.cancel()
         left = max(deadline + flush_seconds - loop.time(), 0.0)
         return await self._flush(left) and complete
 
@@ -195,7 +195,7 @@
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         self._writers.add(writer)
-        self._tasks.begin(self._serve(reader, writer), writer)
+        self._tasks.start(self._serve(reader, writer), writer)
 
     async def _serve(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
--- a/src/lifttrestle/internal/http/server_connection.py
+++ b/src/lifttrestle/internal/http/server_connection.py
@@ -23,7 +23,7 @@
 from lifttrestle.errors import RequestRefused
 from lifttrestle.internal.http.answer import Answer
 from lifttrestle.internal.http.answer import Header
-from lifttrestle.internal.http.byte_stream import bound_silence
+from lifttrestle.internal.http.byte_stream import set_tcp_timeouts
 from lifttrestle.internal.http.head import decode_headers
 from lifttrestle.internal.http.head import RequestHead
 from lifttrestle.internal.http.limits import HttpLimits
@@ -58,7 +58,7 @@
         self._waiting = False
         # A connection's transport, which the writer knows as one to write to.
         self._transport = cast(asyncio.Transport, writer.transport)
-        bound_silence(self._transport)
+        set_tcp_timeouts(self._transport)
         self._transport.set_write_buffer_limits(high=limits.write_buffer_bytes)
 
     @property
@@ -148,7 +148,7 @@
             ) from None
         return b''.join(parts)
 
-    async def wait_gone(self) -> None:
+    async def wait_disconnected(self) -> None:
         """Return when the caller has closed, while it waits for its answer.
 
         A request that it sends ahead meanwhile is kept, up to a bound.
--- a/src/lifttrestle/internal/platform/request_dialect.py
+++ b/src/lifttrestle/internal/platform/request_dialect.py
@@ -30,7 +30,7 @@
 from lifttrestle.internal.http.head import RequestHead
 from lifttrestle.internal.http.head import ResponseHead
 from lifttrestle.internal.http.hop_headers import drop_hop_headers
-from lifttrestle.internal.http.hop_headers import read_keep_alive
+from lifttrestle.internal.http.hop_headers import parse_keep_alive
 from lifttrestle.internal.platform import names
 from lifttrestle.internal.platform.upstream_limit import read_limit
 from lifttrestle.internal.refusal.answers import ANSWERS
@@ -103,7 +103,7 @@
             instance=head.get_header(names.INSTANCE),
             encoded=encoding.lower() != IDENTITY,
             weights=int(weights) if weights.isdecimal() else None,
-            idle_seconds=read_keep_alive(head.get_header('keep-alive')),
+            idle_seconds=parse_keep_alive(head.get_header('keep-alive')),
             limit=read_limit(head.headers),
         )
 
--- a/src/lifttrestle/internal/router/process.py
+++ b/src/lifttrestle/internal/router/process.py
@@ -27,7 +27,7 @@
 from lifttrestle.internal.clock.guarded import GuardedClock
 from lifttrestle.internal.configuration.keeper import ConfigurationKeeper
 from lifttrestle.internal.configuration.store import ConfigurationStore
-from lifttrestle.internal.http.address import check_address
+from lifttrestle.internal.http.address import parse_address
 from lifttrestle.internal.http.answer import Header
 from lifttrestle.internal.http.json_client import JsonClient
 from lifttrestle.internal.http.server import HttpServer
@@ -107,7 +107,7 @@
         self._sponsorship = Sponsorship()
         instance = make_request_id(self._source)
         self._peers = Peers(self._clock, instance)
-        listen = check_address(settings.listen.peers)
+        listen = parse_address(settings.listen.peers)
         self._member = Member(
             instance=instance,
             name=settings.router.name,
@@ -224,12 +224,12 @@
         """
         self._watch_signals()
         listen = self._settings.listen
-        peers = self._exchange.start(check_address(listen.peers))
+        peers = self._exchange.start(parse_address(listen.peers))
         self._keeper.set_peers_address(str(peers))
         self._exchange.set_member(self._keeper.member)
-        callers = await self._callers_door.start(check_address(listen.callers))
+        callers = await self._callers_door.start(parse_address(listen.callers))
         operators = await self._operators_door.start(
-            check_address(listen.operators)
+            parse_address(listen.operators)
         )
         self._start_control()
         await self._wait_until_ready()
@@ -331,7 +331,7 @@
     def _make_client(self, address: str) -> JsonClient:
         platform = self._settings.platform
         return JsonClient(
-            check_address(address),
+            parse_address(address),
             self._clock,
             platform.timeout_seconds,
             headers=_read_platform_token(platform.token_file),
--- a/src/lifttrestle/internal/settings/rules.py
+++ b/src/lifttrestle/internal/settings/rules.py
@@ -22,7 +22,7 @@
 import pathlib
 import typing
 
-from lifttrestle.internal.http.address import check_address
+from lifttrestle.internal.http.address import parse_address
 from lifttrestle.internal.settings.shape import Finding
 
 Data = dict[str, typing.Any]
@@ -69,7 +69,7 @@
         if not isinstance(text, str):
             continue
         try:
-            check_address(text)
+            parse_address(text)
         except ValueError as error:
             yield key, text, str(error)
 
--- a/src/lifttrestle/internal/standin/server.py
+++ b/src/lifttrestle/internal/standin/server.py
@@ -22,7 +22,7 @@
 
 from lifttrestle.errors import RequestRefused
 from lifttrestle.internal.http.address import Address
-from lifttrestle.internal.http.address import check_address
+from lifttrestle.internal.http.address import parse_address
 from lifttrestle.internal.http.answer import Answer
 from lifttrestle.internal.http.head import RequestHead
 from lifttrestle.internal.http.limits import HttpLimits
@@ -152,7 +152,7 @@
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
-    address = await server.start(check_address(at))
+    address = await server.start(parse_address(at))
     print(f'ready: {name} {address}', flush=True)
     await stop.wait()
     await server.stop()
--- a/src/lifttrestle/internal/upstream/registry.py
+++ b/src/lifttrestle/internal/upstream/registry.py
@@ -15,7 +15,7 @@
 from collections.abc import Iterator
 
 from lifttrestle.internal.clock.clock import Clock
-from lifttrestle.internal.http.address import check_address
+from lifttrestle.internal.http.address import parse_address
 from lifttrestle.internal.http.client_pool import ClientPool
 from lifttrestle.internal.membership.listed_vms import ListedVms
 from lifttrestle.internal.settings.router import RouterSettings
@@ -39,7 +39,7 @@
         self._listed = ListedVms()
         for item in settings.upstream:
             pool = ClientPool(
-                check_address(item.address), clock, settings.deadlines.connect
+                parse_address(item.address), clock, settings.deadlines.connect
             )
             state = UpstreamState(item, pool)
             self._states[item.name] = state
--- a/tests/cover/test_fleet_placement.py
+++ b/tests/cover/test_fleet_placement.py
@@ -155,7 +155,7 @@
 
     def test_connection_that_was_kept_too_long_counts_for_nothing(self):
         self.clock.advance(self.kept.pool.idle_seconds + 0.1)
-        self.assertFalse(self.kept.pool.has_kept)
+        self.assertFalse(self.kept.pool.has_idle)
 
     def test_plain_upstream_with_a_kept_connection_is_taken(self):
         for _ in range(9):
--- a/tests/nocover/test_contest_sunday.py
+++ b/tests/nocover/test_contest_sunday.py
@@ -26,7 +26,7 @@
 
 from lifttrestle.errors import PlatformUnavailable
 from lifttrestle.internal.clock.system import SystemClock
-from lifttrestle.internal.http.address import check_address
+from lifttrestle.internal.http.address import parse_address
 from lifttrestle.internal.http.json_client import JsonClient
 from tests.support.deployment import Deployment
 from tests.support.deployment import SERVICE
@@ -70,7 +70,7 @@
     async def submit_all(self, addresses: list[str]) -> dict[str, list[str]]:
         source = random.Random(SEED)
         clients = [
-            JsonClient(check_address(item), SystemClock(), TIMEOUT_SECONDS)
+            JsonClient(parse_address(item), SystemClock(), TIMEOUT_SECONDS)
             for item in addresses
         ]
         work = [
--- a/tests/support/fleet_upstream.py
+++ b/tests/support/fleet_upstream.py
@@ -123,7 +123,7 @@
             await self._decline(connection, head)
             return
         self.runs.append(Run(head, body))
-        watch = asyncio.create_task(connection.wait_gone())
+        watch = asyncio.create_task(connection.wait_disconnected())
         watch.add_done_callback(lambda task: self._note_left(task, head))
         try:
             await self._run(connection, head, behaviour)
