--- a/src/lifttrestle/internal/http/address.py
+++ b/src/lifttrestle/internal/http/address.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""An IP address with a port."""
+"""IP addresses with a port."""
 
 import dataclasses
 import ipaddress
@@ -20,23 +20,25 @@
 
 @dataclasses.dataclass(frozen=True)
 class Address:
-    """Where a process listens: an IP number and a port."""
+    """IP address and TCP or UDP port at which a process listens."""
 
     host: str
     port: int
 
     def __str__(self) -> str:
-        """Return ``host:port``, with brackets around an IPv6 number."""
+        """Return ``host:port``, with brackets around an IPv6 address."""
         if ':' in self.host:
             return f'[{self.host}]:{self.port}'
         return f'{self.host}:{self.port}'
 
 
 def parse_address(text: str) -> Address:
-    """Return the address that ``text`` names, or raise ``ValueError``.
+    """Parse an address of the form ``IP:PORT``.
 
-    :param text: ``IP:PORT``; names are refused, since the platform gives
-        IP numbers only.
+    :param text: an IPv4 or IPv6 address and a port; an IPv6 address may
+        stand in brackets. Host names are refused, since the platform
+        provides IP addresses only.
+    :raises ValueError: if the IP address or the port is not valid.
     """
     host, separator, port = text.rpartition(':')
     host = host.strip('[]')
@@ -44,7 +46,7 @@
         ipaddress.ip_address(host)
     except ValueError:
         raise ValueError(
-            f'{text!r} is not IP:PORT; write an IP number and a port'
+            f'{text!r} is not IP:PORT; write an IP address and a port'
         ) from None
     if not separator or not port.isdecimal() or int(port) > MAX_PORT:
         raise ValueError(
--- a/src/lifttrestle/internal/http/answer.py
+++ b/src/lifttrestle/internal/http/answer.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""A whole HTTP answer."""
+"""Complete HTTP answers, held in memory."""
 
 import dataclasses
 
@@ -19,7 +19,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Answer:
-    """Status, headers and body of an answer held in memory."""
+    """Status, headers and body of an HTTP answer."""
 
     status: int
     headers: tuple[Header, ...] = ()
--- a/src/lifttrestle/internal/http/byte_stream.py
+++ b/src/lifttrestle/internal/http/byte_stream.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Bytes of one TCP connection, with a bound on what is held unread."""
+"""Byte streams over TCP with a bounded read buffer."""
 
 import asyncio
 import socket
@@ -18,37 +18,46 @@
 
 from lifttrestle.internal.http.address import Address
 
-# What may be held unread before the other side is made to wait.
-BUFFER_BYTES = 64 * 1024
-# How long written bytes may stay unacknowledged until the connection counts
-# as broken: a host without power or behind a cut link never answers.
-UNACKNOWLEDGED_MS = 3000
-# A connection that carries nothing is probed after this time and then as
-# often again: one that went silent for good while nothing was on its way is
-# broken by the time at which unacknowledged bytes would have broken it.
-PROBE_AFTER_SECONDS = 1
-PROBE_EVERY_SECONDS = 1
-LOST_PROBES = 2
+# Reading from the socket pauses while more unread bytes are buffered, so that
+# TCP flow control slows the peer down.
+MAX_BUFFER_BYTES = 64 * 1024
+# TCP_USER_TIMEOUT: the kernel closes a connection whose sent bytes stay
+# unacknowledged for this long, as when the peer's host has lost its power or
+# its network link.
+USER_TIMEOUT_MS = 3000
+# TCP keepalive of an idle connection: the first probe, the interval of the
+# further probes, and the number of lost probes that close the connection. An
+# unreachable peer is thus detected within USER_TIMEOUT_MS also while no sent
+# bytes await an acknowledgement.
+KEEPALIVE_IDLE_SECONDS = 1
+KEEPALIVE_INTERVAL_SECONDS = 1
+KEEPALIVE_PROBES = 2
 
 
 class ByteStream(asyncio.Protocol):
-    """Reads and writes one connection; one task reads at a time."""
+    """Reads and writes one TCP connection.
+
+    Only one task may read, and one may write, at a time.
+    """
 
     def __init__(self) -> None:
         self._transport: asyncio.Transport | None = None
-        self._held = bytearray()
-        self._ended = False
+        self._buffer = bytearray()
+        self._at_eof = False
         self._error: OSError | None = None
-        self._arrived: asyncio.Future[None] | None = None
-        self._drained: asyncio.Future[None] | None = None
-        self._paused = False
-        self._blocked = False
+        self._data_waiter: asyncio.Future[None] | None = None
+        self._drain_waiter: asyncio.Future[None] | None = None
+        self._reading_paused = False
+        self._writing_paused = False
 
     @classmethod
     async def open(
         cls, address: Address, tls: ssl.SSLContext | None = None
     ) -> 'ByteStream':
-        """Connect to ``address``, or raise ``OSError``."""
+        """Connect to ``address``.
+
+        :raises OSError: if the connection cannot be established.
+        """
         loop = asyncio.get_running_loop()
         _, stream = await loop.create_connection(
             cls, address.host, address.port, ssl=tls
@@ -56,92 +65,93 @@
         return stream
 
     @property
-    def quiet(self) -> bool:
-        """Return whether it is open, with nothing left to read or write."""
+    def is_idle(self) -> bool:
+        """Return whether it is open and both buffers are empty."""
         transport = self._transport
         return (
             transport is not None
             and not transport.is_closing()
-            and not self._ended
-            and not self._held
+            and not self._at_eof
+            and not self._buffer
             and transport.get_write_buffer_size() == 0
         )
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport and bound its silence."""
+        """Store the transport and set the timeouts of its socket."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         set_tcp_timeouts(transport)
 
     def data_received(self, data: bytes) -> None:
-        """Hold what arrived until it is read."""
-        self._held += data
-        if len(self._held) > BUFFER_BYTES and not self._paused:
-            self._paused = True
+        """Buffer received bytes, and pause reading if the buffer is full."""
+        self._buffer += data
+        if len(self._buffer) > MAX_BUFFER_BYTES and not self._reading_paused:
+            self._reading_paused = True
             self._get_transport().pause_reading()
-        _wake(self._arrived)
+        _wake(self._data_waiter)
 
     def eof_received(self) -> bool:
-        """Note the end; the transport then closes by itself."""
-        self._ended = True
-        _wake(self._arrived)
+        """Record the end of the stream, and let the transport close."""
+        self._at_eof = True
+        _wake(self._data_waiter)
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Note how the connection ended."""
-        self._ended = True
+        """Record the error, if any, and wake the reader and the writer."""
+        self._at_eof = True
         if error is not None:
-            self._error = OSError(f'the connection broke: {error}')
-        _wake(self._arrived)
-        _wake(self._drained)
+            self._error = OSError(f'the connection was lost: {error}')
+        _wake(self._data_waiter)
+        _wake(self._drain_waiter)
 
     def pause_writing(self) -> None:
-        """Make writers wait."""
-        self._blocked = True
+        """Block writers: the write buffer is over its high-water mark."""
+        self._writing_paused = True
 
     def resume_writing(self) -> None:
-        """Let writers go on."""
-        self._blocked = False
-        _wake(self._drained)
+        """Unblock writers: the write buffer has been drained."""
+        self._writing_paused = False
+        _wake(self._drain_waiter)
 
     async def read(self) -> bytes:
-        """Return what has arrived, or nothing at the end.
+        """Return all buffered bytes, waiting if there are none.
 
-        :raises OSError: if the connection broke.
+        :return: empty at the end of the stream.
+        :raises OSError: if the connection was lost.
         """
-        while not self._held and not self._ended:
-            self._arrived = asyncio.get_running_loop().create_future()
-            await self._arrived
-        if self._held:
-            data = bytes(self._held)
-            self._held.clear()
-            self._resume()
+        while not self._buffer and not self._at_eof:
+            self._data_waiter = asyncio.get_running_loop().create_future()
+            await self._data_waiter
+        if self._buffer:
+            data = bytes(self._buffer)
+            self._buffer.clear()
+            self._resume_reading()
             return data
         if self._error is not None:
             raise self._error
         return b''
 
     async def write(self, data: bytes) -> None:
-        """Write, waiting while the other side does not read.
+        """Write ``data``, and wait while the write buffer is too full.
 
-        :raises OSError: if the connection broke.
+        :raises OSError: if the connection was lost.
         """
         self._get_transport().write(data)
-        while self._blocked and not self._ended:
-            self._drained = asyncio.get_running_loop().create_future()
-            await self._drained
+        while self._writing_paused and not self._at_eof:
+            self._drain_waiter = asyncio.get_running_loop().create_future()
+            await self._drain_waiter
         if self._error is not None:
             raise self._error
 
     def abort(self) -> None:
-        """Cut the connection at once."""
+        """Close the connection at once, discarding unsent bytes."""
         if self._transport is not None:
             self._transport.abort()
 
-    def _resume(self) -> None:
+    def _resume_reading(self) -> None:
         transport = self._get_transport()
-        if self._paused and not transport.is_closing():
-            self._paused = False
+        if self._reading_paused and not transport.is_closing():
+            self._reading_paused = False
             transport.resume_reading()
 
     def _get_transport(self) -> asyncio.Transport:
@@ -156,16 +166,20 @@
 
 
 def set_tcp_timeouts(transport: asyncio.BaseTransport) -> None:
-    """Break a connection whose other side no longer acknowledges."""
-    link = transport.get_extra_info('socket')
-    if link is None:
+    """Set the TCP user timeout and keepalive of a connection's socket.
+
+    They close connections to hosts that no longer acknowledge anything. A
+    transport without a socket is left as it is.
+    """
+    sock = transport.get_extra_info('socket')
+    if sock is None:
         return
-    link.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     options = (
-        (socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS),
-        (socket.TCP_KEEPIDLE, PROBE_AFTER_SECONDS),
-        (socket.TCP_KEEPINTVL, PROBE_EVERY_SECONDS),
-        (socket.TCP_KEEPCNT, LOST_PROBES),
+        (socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS),
+        (socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_SECONDS),
+        (socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_SECONDS),
+        (socket.TCP_KEEPCNT, KEEPALIVE_PROBES),
     )
     for option, value in options:
-        link.setsockopt(socket.IPPROTO_TCP, option, value)
+        sock.setsockopt(socket.IPPROTO_TCP, option, value)
--- a/src/lifttrestle/internal/http/client_connection.py
+++ b/src/lifttrestle/internal/http/client_connection.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""One HTTP/1.1 connection to an upstream or platform service."""
+"""HTTP/1.1 client connections to upstreams and platform services."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -27,13 +27,16 @@
 from lifttrestle.internal.http.head import RequestHead
 from lifttrestle.internal.http.head import ResponseHead
 
-# Answers to earlier requests that are skipped before a connection is given
-# up as broken.
-MAX_SKIPPED = 4
+# Most answers to earlier requests that are skipped on one connection before it
+# counts as broken.
+MAX_SKIPPED_ANSWERS = 4
 
 
 class ClientConnection:
-    """Carries one exchange at a time and knows if it may carry another."""
+    """HTTP/1.1 connection that carries one exchange at a time.
+
+    :ivar exchanges: number of requests sent, including the current one.
+    """
 
     def __init__(
         self,
@@ -42,7 +45,7 @@
     ) -> None:
         self.address = address
         self._stream = stream
-        self._wire = h11.Connection(h11.CLIENT)
+        self._h11 = h11.Connection(h11.CLIENT)
         self._request: h11.Request | None = None
         self._skipped = 0
         self.exchanges = 0
@@ -56,32 +59,37 @@
     ) -> 'ClientConnection':
         """Connect to ``address``.
 
-        :raises UpstreamConnectFailed: if there is no connection in time;
-            then nothing was sent.
+        :raises UpstreamConnectFailed: if connecting fails or takes longer than
+            ``connect_seconds``; no request has been sent then.
         """
         try:
             async with asyncio.timeout(connect_seconds):
                 stream = await ByteStream.open(address, tls)
         except (OSError, TimeoutError) as error:
             raise UpstreamConnectFailed(
-                f'no connection to {address}: {error or "timed out"}',
+                f'cannot connect to {address}: {error or "timed out"}',
                 refused=isinstance(error, ConnectionRefusedError),
             ) from error
         return cls(address, stream)
 
     @property
     def reusable(self) -> bool:
-        """Return whether the last answer ended, and nothing came after."""
+        """Return whether it is open, and the last exchange is complete.
+
+        Bytes received after the end of the answer make it unusable.
+        """
         return (
-            self._wire.our_state is h11.IDLE
-            and not self._wire.trailing_data[0]
-            and self._stream.quiet
+            self._h11.our_state is h11.IDLE
+            and not self._h11.trailing_data[0]
+            and self._stream.is_idle
         )
 
     async def send_request(self, head: RequestHead, body: bytes) -> None:
-        """Send a whole request.
+        """Send a complete request.
+
+        ``Host``, if absent, and ``Content-Length`` are added.
 
-        :raises UpstreamLost: if the connection broke while sending.
+        :raises UpstreamLost: if the connection was lost while sending.
         """
         self.exchanges += 1
         names = {name for name, _ in head.headers}
@@ -94,10 +102,10 @@
             method=head.method, target=head.target, headers=headers
         )
         try:
-            data = self._wire.send(request) or b''
+            data = self._h11.send(request) or b''
             if body:
-                data += self._wire.send(h11.Data(data=body)) or b''
-            data += self._wire.send(h11.EndOfMessage()) or b''
+                data += self._h11.send(h11.Data(data=body)) or b''
+            data += self._h11.send(h11.EndOfMessage()) or b''
             self._request = request
             await self._stream.write(data)
         except (OSError, h11.ProtocolError) as error:
@@ -106,9 +114,9 @@
             ) from error
 
     async def read_head(self) -> ResponseHead:
-        """Return the head of the final answer.
+        """Return the head of the final answer, skipping interim ones.
 
-        :raises UpstreamLost: if the connection ended before.
+        :raises UpstreamLost: if the connection was closed or lost before.
         """
         while True:
             event = await self._next_event()
@@ -121,19 +129,20 @@
             raise UpstreamBrokeOff(f'{self.address} closed without an answer')
 
     async def iterate_body(self) -> AsyncIterator[bytes]:
-        """Yield the parts of the body as they arrive, to the explicit end.
+        """Yield the parts of the body as they arrive.
 
-        :raises UpstreamLost: if the body was cut short.
+        :raises UpstreamLost: if the body ended early.
         """
         while data := await self.read_part():
             yield data
 
     async def read_part(self) -> bytes:
-        """Return the next part of the body, or nothing at its explicit end.
+        """Return the next part of the body.
 
-        It may be cancelled and called again.
+        It may be cancelled and called again without losing bytes.
 
-        :raises UpstreamLost: if the body was cut short.
+        :return: empty at the end that the message framing declares.
+        :raises UpstreamLost: if the body ended early.
         """
         while True:
             event = await self._next_event()
@@ -144,12 +153,12 @@
             if isinstance(event, h11.EndOfMessage):
                 self._finish()
                 return b''
-            raise UpstreamBrokeOff(f'{self.address} cut its answer short')
+            raise UpstreamBrokeOff(f'{self.address} ended its answer early')
 
     async def read_body(self, limit: int) -> bytes:
-        """Return the whole body.
+        """Return the complete body.
 
-        :raises UpstreamLost: if it was cut short or is over ``limit`` bytes.
+        :raises UpstreamLost: if it ended early or exceeds ``limit`` bytes.
         """
         parts: list[bytes] = []
         size = 0
@@ -157,52 +166,57 @@
             size += len(part)
             if size > limit:
                 raise UpstreamLost(
-                    f'{self.address} answered with over {limit} bytes'
+                    f'{self.address} answered with more than {limit} bytes'
                 )
             parts.append(part)
         return b''.join(parts)
 
     async def skip_answer(self, limit: int) -> None:
-        """Drop the current answer, which belongs to an earlier request.
+        """Discard the current answer, which belongs to an earlier request.
 
-        What follows it is then read as the answer to the current request.
+        The next answer is then read as that to the current request.
 
-        :raises UpstreamLost: if it has no end, or too many were skipped.
+        :param limit: most bytes of the body to discard.
+        :raises UpstreamLost: if the body exceeds ``limit`` or ends early, or
+            if more than ``MAX_SKIPPED_ANSWERS`` answers were skipped.
         """
         self._skipped += 1
-        if self._skipped > MAX_SKIPPED or self._request is None:
-            raise UpstreamLost(f'{self.address} answers other requests')
+        if self._skipped > MAX_SKIPPED_ANSWERS or self._request is None:
+            raise UpstreamLost(
+                f'{self.address} sent answers to other requests'
+            )
         request = self._request
         await self.read_body(limit)
-        rest, closed = self._wire.trailing_data
-        self._wire = h11.Connection(h11.CLIENT)
-        # The library reads an answer only after it has sent a request.
-        self._wire.send(request)
+        rest, closed = self._h11.trailing_data
+        self._h11 = h11.Connection(h11.CLIENT)
+        # h11 parses an answer only after it has sent a request, so the request
+        # is replayed into the new state machine; its output is discarded.
+        self._h11.send(request)
         if dict(request.headers).get(b'content-length'):
             size = int(dict(request.headers)[b'content-length'])
-            self._wire.send(h11.Data(data=bytes(size)))
-        self._wire.send(h11.EndOfMessage())
+            self._h11.send(h11.Data(data=bytes(size)))
+        self._h11.send(h11.EndOfMessage())
         if rest:
-            self._wire.receive_data(rest)
+            self._h11.receive_data(rest)
         if closed:
-            self._wire.receive_data(b'')
+            self._h11.receive_data(b'')
 
     def close(self) -> None:
-        """Cut the connection at once."""
+        """Close the connection at once, discarding unsent bytes."""
         self._stream.abort()
 
     def _finish(self) -> None:
-        both = (self._wire.our_state, self._wire.their_state)
-        if both == (h11.DONE, h11.DONE):
-            self._wire.start_next_cycle()
+        states = (self._h11.our_state, self._h11.their_state)
+        if states == (h11.DONE, h11.DONE):
+            self._h11.start_next_cycle()
 
     async def _next_event(self) -> object:
         while True:
             try:
-                event = self._wire.next_event()
+                event = self._h11.next_event()
                 if event is not h11.NEED_DATA:
                     return event
-                self._wire.receive_data(await self._stream.read())
+                self._h11.receive_data(await self._stream.read())
             except (OSError, h11.ProtocolError) as error:
                 raise UpstreamBrokeOff(
                     f'{self.address} broke off its answer: {error}'
--- a/src/lifttrestle/internal/http/client_pool.py
+++ b/src/lifttrestle/internal/http/client_pool.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Idle connections to one address, kept for reuse."""
+"""Pools of idle HTTP connections to one address."""
 
 import ssl
 
@@ -19,12 +19,15 @@
 from lifttrestle.internal.http.client_connection import ClientConnection
 
 MAX_IDLE = 64
-# Upstreams commonly close idle connections after five seconds or more.
+# Below the idle timeouts of common servers, which are five seconds or more.
 IDLE_SECONDS = 4.0
 
 
 class ClientPool:
-    """Opens connections to one address and reuses those that ended well."""
+    """Opens connections to one address and reuses idle ones.
+
+    :ivar idle_seconds: how long an idle connection may be reused.
+    """
 
     def __init__(
         self,
@@ -42,24 +45,24 @@
 
     @property
     def has_idle(self) -> bool:
-        """Return whether a connection is kept that should be of use."""
+        """Return whether an idle connection has not yet expired."""
         if not self._idle:
             return False
         newest, _ = self._idle[-1]
         return newest >= self._clock.monotonic() - self.idle_seconds
 
     async def take(self, *, fresh: bool = False) -> ClientConnection:
-        """Return a connection that no one else uses.
+        """Return a connection for the exclusive use of the caller.
 
-        :param fresh: open a new one. A request that may not be repeated
-            needs it: on a reused connection that the other side has just
-            closed, no one can tell if the request was read.
-        :raises UpstreamConnectFailed: if none could be opened.
+        :param fresh: always open a new one. Required for requests that may
+            not be repeated: if the server has just closed a reused
+            connection, it is unknown whether it read the request.
+        :raises UpstreamConnectFailed: if no connection could be opened.
         """
         oldest = self._clock.monotonic() - self.idle_seconds
         while self._idle and not fresh:
-            kept_at, connection = self._idle.pop()
-            if kept_at >= oldest and connection.reusable:
+            idle_since, connection = self._idle.pop()
+            if idle_since >= oldest and connection.reusable:
                 return connection
             connection.close()
         return await ClientConnection.open(
@@ -67,7 +70,10 @@
         )
 
     def give_back(self, connection: ClientConnection) -> None:
-        """Keep a connection whose answer was read to its end, or close it."""
+        """Return a connection to the pool, or close it if not reusable.
+
+        It is also closed if ``MAX_IDLE`` connections are idle already.
+        """
         if connection.reusable and len(self._idle) < MAX_IDLE:
             self._idle.append((self._clock.monotonic(), connection))
             return
--- a/src/lifttrestle/internal/http/connection_tasks.py
+++ b/src/lifttrestle/internal/http/connection_tasks.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""The tasks that serve a listener's connections."""
+"""Tasks that serve the connections of a listener."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -22,22 +22,22 @@
 
 
 class ConnectionTasks:
-    """Holds one task a connection, from the moment at which it is accepted.
+    """Runs one task per connection, starting when it is accepted.
 
-    The standard library's own task for an accepted connection is out of reach
-    of a stop until it has run once, and tells of its cancellation as of a
-    fault.
+    asyncio would create such a task itself for a coroutine callback, but a
+    server that stops could not cancel that task before its first step, and
+    asyncio would report its cancellation as an error.
     """
 
     def __init__(self) -> None:
         self._tasks: set[asyncio.Task[None]] = set()
 
     def __iter__(self) -> Iterator[asyncio.Task[None]]:
-        """Iterate over the tasks that have not ended, as of now."""
+        """Iterate over a snapshot of the running tasks."""
         return iter(tuple(self._tasks))
 
     def __len__(self) -> int:
-        """Return how many connections are served."""
+        """Return the number of running tasks."""
         return len(self._tasks)
 
     def start(
@@ -45,22 +45,25 @@
         work: Coroutine[Any, Any, None],
         writer: asyncio.StreamWriter,
     ) -> None:
-        """Serve a connection, and close it when its task ends."""
+        """Run ``work`` in a task, and close ``writer`` when it ends."""
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
-        task.add_done_callback(lambda task: self._note_end(task, writer))
+        task.add_done_callback(lambda task: self._handle_done(task, writer))
 
     async def cancel(self) -> None:
-        """Cancel every task and wait until they have ended."""
+        """Cancel all tasks and wait until they have ended."""
         tasks = tuple(self._tasks)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    def _note_end(
+    def _handle_done(
         self, task: asyncio.Task[None], writer: asyncio.StreamWriter
     ) -> None:
         self._tasks.discard(task)
         writer.close()
         if not task.cancelled() and task.exception() is not None:
-            LOG.error('a connection failed', exc_info=task.exception())
+            LOG.error(
+                'unhandled error while serving a connection',
+                exc_info=task.exception(),
+            )
--- a/src/lifttrestle/internal/http/head.py
+++ b/src/lifttrestle/internal/http/head.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""The head of an HTTP request or answer."""
+"""Heads of HTTP requests and answers: start line and headers."""
 
 import dataclasses
 import urllib.parse
@@ -22,7 +22,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class RequestHead:
-    """The request line and headers; header names are in lower case."""
+    """Request line and headers; header names are in lower case."""
 
     method: str
     target: str
@@ -32,7 +32,7 @@
     def path(self) -> str:
         """Return the path without its query.
 
-        :raises ValueError: if the target is no path and no address.
+        :raises ValueError: if the target is neither a path nor a URL.
         """
         return urllib.parse.urlsplit(self.target).path
 
@@ -48,7 +48,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class ResponseHead:
-    """The status line and headers; header names are in lower case."""
+    """Status line and headers; header names are in lower case."""
 
     status: int
     headers: tuple[Header, ...] = ()
@@ -61,7 +61,7 @@
 def get_header(
     headers: tuple[Header, ...], name: str, default: str = ''
 ) -> str:
-    """Return the value of the first header called ``name``."""
+    """Return the value of the first header with that lower-case name."""
     for key, value in headers:
         if key == name:
             return value
@@ -69,23 +69,24 @@
 
 
 def find_single_header(head: RequestHead, name: str) -> str:
-    """Return the value of a header that may stand only once, or nothing.
+    """Return the value of a header that may occur only once.
 
-    :raises RequestRefused: if it stands twice with different values: whoever
-        reads the other one would see another request.
+    :return: empty if the header is absent.
+    :raises RequestRefused: if it occurs with different values. Recipients
+        could pick different ones and so disagree on what was requested.
     """
     values = {value for key, value in head.headers if key == name}
     if len(values) > 1:
         raise RequestRefused(
             ErrorKind.MALFORMED_REQUEST,
-            f'the header {name} stands {len(values)} times; send it once',
+            f'the header {name} has {len(values)} values; send it once',
             field=name,
         )
     return values.pop() if values else ''
 
 
 def decode_headers(raw: object) -> tuple[Header, ...]:
-    """Return headers of the HTTP library as pairs of strings."""
+    """Convert the headers of an h11 event to pairs of strings."""
     return tuple(
         (name.decode('ascii').lower(), value.decode('latin-1'))
         for name, value in raw  # type: ignore[attr-defined]
--- a/src/lifttrestle/internal/http/hop_headers.py
+++ b/src/lifttrestle/internal/http/hop_headers.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Headers that concern one connection only and are never passed on."""
+"""Hop-by-hop headers, which concern one connection and are not forwarded."""
 
 from lifttrestle.internal.http.answer import Header
 
@@ -29,29 +29,32 @@
         'upgrade',
     )
 )
-TIMEOUT = 'timeout='
+TIMEOUT_PREFIX = 'timeout='
 
 
 def drop_hop_headers(headers: tuple[Header, ...]) -> tuple[Header, ...]:
-    """Return the headers without those of the connection.
+    """Return the headers without the hop-by-hop ones.
 
-    Among these are the ones that a ``Connection`` header names. The length
-    of a body is set anew by whoever sends it.
+    These include the headers that ``Connection`` lists. ``Content-Length`` is
+    dropped as well, since the sender of a body sets it.
     """
     dropped = set(HOP_HEADERS)
     for name, value in headers:
         if name == 'connection':
             dropped.update(item.strip().lower() for item in value.split(','))
-    # A caller can't have the headers dropped that make its request whole.
+    # A request is not valid without Host, so Connection can't remove it.
     dropped.discard('host')
     return tuple(item for item in headers if item[0] not in dropped)
 
 
 def parse_keep_alive(value: str) -> float | None:
-    """Return the seconds for which a ``Keep-Alive`` header allows rest."""
+    """Return the idle timeout in seconds of a ``Keep-Alive`` header.
+
+    :return: None if the header states none.
+    """
     for item in value.split(','):
         text = item.strip().lower()
-        seconds = text[len(TIMEOUT) :]
-        if text.startswith(TIMEOUT) and seconds.isdecimal():
+        seconds = text[len(TIMEOUT_PREFIX) :]
+        if text.startswith(TIMEOUT_PREFIX) and seconds.isdecimal():
             return float(seconds)
     return None
--- a/src/lifttrestle/internal/http/json_client.py
+++ b/src/lifttrestle/internal/http/json_client.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Small JSON calls to one address over kept connections."""
+"""JSON requests to one address over pooled connections."""
 
 import asyncio
 import ssl
@@ -32,10 +32,11 @@
 
 
 class JsonClient:
-    """Sends one request at a time on each connection, with a timeout.
+    """Sends requests, one at a time on each connection, with a timeout.
 
     :param headers: sent with every request.
-    :param pool: whose connections are used, in place of a pool of its own.
+    :param timeout_seconds: for a whole exchange, including connecting.
+    :param pool: pool to use; by default, the client creates its own.
     """
 
     def __init__(
@@ -60,12 +61,13 @@
         headers: tuple[Header, ...] = (),
         extra_seconds: float = 0.0,
     ) -> Answer:
-        """Return the whole answer.
+        """Send a request and return the complete answer.
 
         :param content: encoded as JSON unless it is None or bytes.
-        :param extra_seconds: how long the other side was asked to wait.
-        :raises PlatformUnavailable: without a whole answer in time; the
-            call may have taken effect.
+        :param extra_seconds: added to the timeout, for a request that asks
+            the server to wait before it answers.
+        :raises PlatformUnavailable: if no complete answer arrived in time;
+            the request may have taken effect.
         """
         body = _encode(content)
         head = RequestHead(method, target, (*self._headers, *headers))
@@ -90,7 +92,7 @@
         return Answer(answer_head.status, answer_head.headers, data)
 
     def close(self) -> None:
-        """Close the kept connections."""
+        """Close the idle connections of the pool."""
         self._pool.close()
 
 
--- a/src/lifttrestle/internal/http/limits.py
+++ b/src/lifttrestle/internal/http/limits.py
@@ -10,13 +10,16 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Bounds on what one HTTP connection may cost."""
+"""Limits on the memory and the time of HTTP connections."""
 
 import msgspec
 
 
 class HttpLimits(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Sizes in bytes and times in seconds for one caller's connection."""
+    """Limits of one caller's connection, in bytes and seconds.
+
+    ``max_connections`` bounds the connections of a whole server.
+    """
 
     head_bytes: int = 32 * 1024
     body_bytes: int = 8 * 1024 * 1024
--- a/src/lifttrestle/internal/http/server.py
+++ b/src/lifttrestle/internal/http/server.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""A listening HTTP server that can stop without cutting a request."""
+"""HTTP/1.1 server with a graceful stop."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -31,19 +31,20 @@
 Handler = Callable[[ServerConnection, RequestHead], Awaitable[None]]
 BACKLOG = 512
 NO_REQUEST_ID = '-'
-# For answers that are still in the buffers when the requests of a stop have
-# ended: 64 KiB, the most that a connection buffers, pass a link of 5 Mbit/s in
-# 0.1 s.
+# How long a stop waits, after its last request, until buffered answers are
+# sent. The write buffer of a connection, 64 KiB at most, takes 0.1 s on a link
+# of 5 Mbit/s.
 FLUSH_SECONDS = 0.1
-# Turns of the loop from accepting a connection to its first read, and more.
-ACCEPT_TURNS = 8
+# More iterations of the event loop than lie between the acceptance of a
+# connection and its first read.
+ACCEPT_ITERATIONS = 8
 
 
 class HttpServer:
-    """Accepts connections and hands each request to one handler.
+    """Accepts connections and passes each request to a handler.
 
     :param handler: serves one request; it must send an answer or abort.
-    :param limits: bounds for each connection.
+    :param limits: limits for each connection.
     :param tls: the server's TLS context, or None for plain TCP.
     """
 
@@ -63,15 +64,18 @@
         self._writers: weakref.WeakSet[asyncio.StreamWriter] = (
             weakref.WeakSet()
         )
-        # Connections that have answered their last request.
+        # Tasks of connections that have answered their last request.
         self._closing: set[asyncio.Task[None]] = set()
-        # Is set while no request is served.
-        self._quiet = asyncio.Event()
+        # Set while no request is being served.
+        self._idle = asyncio.Event()
         self._stopping = False
-        self._cut = 0
+        self._aborted = 0
 
     async def start(self, address: Address) -> Address:
-        """Listen at ``address`` and return the address in force."""
+        """Listen at ``address`` and return the address that was bound.
+
+        They differ if the port is 0.
+        """
         self._server = await asyncio.start_server(
             self._accept,
             address.host,
@@ -89,74 +93,78 @@
 
     @property
     def aborted_requests(self) -> int:
-        """Return how many requests the stop has cut."""
-        return self._cut
+        """Return the number of requests that the stop has aborted."""
+        return self._aborted
 
     def set_limits(self, limits: HttpLimits) -> None:
-        """Bound the connections that come from now on."""
+        """Set the limits for connections accepted from now on."""
         self._limits = limits
 
     def announce_stop(self) -> None:
-        """Answer every further request with ``Connection: close``."""
+        """Answer all further requests with ``Connection: close``."""
         self._stopping = True
 
     async def stop(
         self, grace_seconds: float, flush_seconds: float = FLUSH_SECONDS
     ) -> bool:
-        """Close the listener, let requests end, and return if all did.
+        """Close the listener and wait until all requests have ended.
 
-        :param grace_seconds: within which requests have to end.
-        :param flush_seconds: within which, after that, what was answered has
-            to leave the buffers; what requests leave of their time is added.
+        :param grace_seconds: requests that take longer are aborted.
+        :param flush_seconds: how long, after that, buffered answers may take
+            to be sent; time left of ``grace_seconds`` is added.
+        :return: whether all requests ended and all answers were sent in time.
         """
         self._stopping = True
         loop = asyncio.get_running_loop()
         deadline = loop.time() + grace_seconds
         await self._stop_accepting()
-        await self._wait_quiet(deadline)
-        self._cut = len(self._busy)
-        complete = not self._cut
-        await self._wait_closed(deadline)
+        await self._wait_idle(deadline)
+        self._aborted = len(self._busy)
+        complete = not self._aborted
+        await self._wait_callers_closed(deadline)
         await self._tasks.cancel()
-        left = max(deadline + flush_seconds - loop.time(), 0.0)
-        return await self._flush(left) and complete
+        remaining = max(deadline + flush_seconds - loop.time(), 0.0)
+        return await self._flush(remaining) and complete
 
     async def _stop_accepting(self) -> None:
-        """Close the listener; what it has accepted is served first.
+        """Close the listener without losing accepted connections.
 
-        The standard library takes some turns of its loop from accepting a
-        connection to its first read, and loses one whose listener is closed
-        meanwhile: neither answered nor reset.
+        asyncio needs several iterations of its event loop from accepting a
+        connection to its first read. If the listener is closed in between,
+        the connection is neither served nor reset.
         """
         if self._server is None:
             return
         loop = asyncio.get_running_loop()
-        for listening in self._server.sockets:
-            loop.remove_reader(listening.fileno())
-        for _ in range(ACCEPT_TURNS):
+        for sock in self._server.sockets:
+            loop.remove_reader(sock.fileno())
+        for _ in range(ACCEPT_ITERATIONS):
             await asyncio.sleep(0)
         self._server.close()
 
-    async def _wait_quiet(self, deadline: float) -> None:
-        """Return when no request is served, or at the deadline.
+    async def _wait_idle(self, deadline: float) -> None:
+        """Wait until no request is being served, or until the deadline.
 
-        Connections whose caller was not told that they end are kept as long
-        as others are busy: a request that comes is answered, and told so.
+        Idle connections are closed at the start, and again whenever no
+        request is being served. One that becomes idle in between stays open,
+        since its caller has not received ``Connection: close``: a further
+        request on it is answered, with that header.
         """
-        await self._end_waiting()
+        await self._close_idle()
         while self._busy:
             try:
                 async with asyncio.timeout_at(deadline):
-                    await self._quiet.wait()
+                    await self._idle.wait()
             except TimeoutError:
                 return
-            await self._end_waiting()
+            await self._close_idle()
 
-    async def _end_waiting(self) -> None:
-        """End the connections on which nothing has come of a request.
+    async def _close_idle(self) -> None:
+        """Close the connections that have received no byte of a request.
 
-        One that has arrived and was not looked at yet is served: its
-        connection takes in nothing more and is given one turn.
+        Bytes that were received but not yet parsed have to be served. So all
+        connections stop reading, and their tasks run for one iteration of the
+        event loop, before the check.
         """
         paused = {
             task: connection
@@ -165,20 +173,20 @@
         }
         await asyncio.sleep(0)
         for task, connection in tuple(self._connections.items()):
-            if connection.waiting:
+            if connection.awaiting_request:
                 task.cancel()
             elif task in paused:
                 connection.resume_reading()
 
-    async def _wait_closed(self, deadline: float) -> None:
-        """Let the callers of what was answered close their connections."""
+    async def _wait_callers_closed(self, deadline: float) -> None:
+        """Wait until callers close the connections that have ended."""
         if not self._closing:
             return
-        left = max(deadline - asyncio.get_running_loop().time(), 0.0)
-        await asyncio.wait(set(self._closing), timeout=left)
+        remaining = max(deadline - asyncio.get_running_loop().time(), 0.0)
+        await asyncio.wait(set(self._closing), timeout=remaining)
 
     async def _flush(self, grace_seconds: float) -> bool:
-        """Wait until what was answered has left the buffers."""
+        """Wait until the write buffers are empty; return whether they are."""
         closings = [
             asyncio.create_task(_wait_closed(writer))
             for writer in self._writers
@@ -212,8 +220,8 @@
         except (CallerGone, OSError):
             connection.abort()
         except asyncio.CancelledError:
-            # An idle connection may still have the end of its last answer in
-            # its buffer; closing it below sends that.
+            # The write buffer of an idle connection may still hold the end of
+            # its last answer, so the connection is closed, not aborted.
             pass
         finally:
             del self._connections[task]
@@ -244,7 +252,7 @@
                 await connection.close()
                 return
             self._busy.add(task)
-            self._quiet.clear()
+            self._idle.clear()
             try:
                 if self._stopping:
                     connection.close_after_answer()
@@ -255,8 +263,8 @@
             finally:
                 self._busy.discard(task)
                 if not self._busy:
-                    self._quiet.set()
-            if not connection.start_next():
+                    self._idle.set()
+            if not connection.start_next_cycle():
                 self._closing.add(task)
                 await connection.close()
                 return
--- a/src/lifttrestle/internal/http/server_connection.py
+++ b/src/lifttrestle/internal/http/server_connection.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""One caller's HTTP/1.1 connection, from the server's side."""
+"""Server side of HTTP/1.1 connections."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -30,16 +30,16 @@
 from lifttrestle.internal.refusal.kind import ErrorKind
 
 READ_BYTES = 64 * 1024
-# What a caller may send ahead of the answer that it waits for.
-MAX_AHEAD_BYTES = 64 * 1024
+# Most bytes of pipelined requests that are read during a request.
+MAX_PIPELINED_BYTES = 64 * 1024
 STATUS_HEAD_TOO_LARGE = 431
 
 
 class ServerConnection:
-    """Reads requests from and writes answers to one caller.
+    """Reads requests from one caller and sends the answers.
 
-    The object is owned by one task. After an error that leaves the
-    connection's position unknown it is closed, never reused.
+    Used by one task. After an error that leaves the position in the byte
+    stream unknown, the connection is closed rather than reused.
     """
 
     def __init__(
@@ -51,50 +51,57 @@
         self._reader = reader
         self._writer = writer
         self._limits = limits
-        self._wire = h11.Connection(
+        self._h11 = h11.Connection(
             h11.SERVER, max_incomplete_event_size=limits.head_bytes
         )
         self._closing = False
-        self._waiting = False
-        # A connection's transport, which the writer knows as one to write to.
+        self._awaiting_request = False
+        # StreamWriter declares a WriteTransport, but the transport of a
+        # connection also reads.
         self._transport = cast(asyncio.Transport, writer.transport)
         set_tcp_timeouts(self._transport)
         self._transport.set_write_buffer_limits(high=limits.write_buffer_bytes)
 
     @property
     def peer(self) -> str:
-        """Return the caller's IP number and port."""
+        """Return the IP address and port of the caller, or an empty text."""
         name = self._writer.get_extra_info('peername')
         return f'{name[0]}:{name[1]}' if name else ''
 
     @property
     def answer_started(self) -> bool:
-        """Return whether the head of the current answer was sent."""
-        return self._wire.our_state not in (h11.IDLE, h11.SEND_RESPONSE)
+        """Return whether the head of the current answer has been sent."""
+        return self._h11.our_state not in (h11.IDLE, h11.SEND_RESPONSE)
 
     def close_after_answer(self) -> None:
-        """Tell the caller with its answer that this connection ends."""
+        """Close after the current answer, announced by ``Connection: close``.
+
+        The header is missing if the head of the answer was already sent.
+        """
         self._closing = True
 
     @property
-    def waiting(self) -> bool:
-        """Return whether nothing has come of a next request."""
-        return self._waiting
+    def awaiting_request(self) -> bool:
+        """Return whether it awaits the first byte of a request."""
+        return self._awaiting_request
 
     def pause_reading(self) -> bool:
-        """Take in no further bytes; return whether any were taken in."""
+        """Pause reading from the socket; return whether it was active."""
         was_reading = self._transport.is_reading()
         self._transport.pause_reading()
         return was_reading
 
     def resume_reading(self) -> None:
-        """Take in bytes again."""
+        """Resume reading from the socket."""
         self._transport.resume_reading()
 
     async def read_head(self) -> RequestHead | None:
-        """Return the next request's head, or None at a clean end.
+        """Return the head of the next request.
+
+        :return: None if no request follows: the caller closed or reset the
+            connection, or it was idle for too long.
 
-        :raises RequestRefused: for a malformed, oversized or slow head.
+        :raises RequestRefused: if the head is malformed, too large or slow.
         """
         if not await self._wait_for_bytes():
             return None
@@ -125,9 +132,9 @@
             ) from None
 
     async def read_body(self) -> bytes:
-        """Return the whole body of the current request.
+        """Return the complete body of the current request.
 
-        :raises RequestRefused: for a malformed, oversized or slow body.
+        :raises RequestRefused: if the body is malformed, too large or slow.
         """
         limit = self._limits.body_bytes
         parts: list[bytes] = []
@@ -137,7 +144,7 @@
                 async for part in self._iterate_body():
                     size += len(part)
                     if size > limit:
-                        raise self._refuse_body(size)
+                        raise self._make_body_refusal(size)
                     parts.append(part)
         except TimeoutError:
             raise RequestRefused(
@@ -149,22 +156,24 @@
         return b''.join(parts)
 
     async def wait_disconnected(self) -> None:
-        """Return when the caller has closed, while it waits for its answer.
+        """Wait until the caller closes or resets the connection.
 
-        A request that it sends ahead meanwhile is kept, up to a bound.
+        Pipelined requests that arrive meanwhile are buffered. From
+        ``MAX_PIPELINED_BYTES`` of them on, nothing more is read and a close is
+        no longer noticed.
         """
-        while len(self._wire.trailing_data[0]) < MAX_AHEAD_BYTES:
+        while len(self._h11.trailing_data[0]) < MAX_PIPELINED_BYTES:
             try:
                 data = await self._reader.read(READ_BYTES)
             except OSError:
                 return
             if not data:
                 return
-            self._wire.receive_data(data)
+            self._h11.receive_data(data)
         await asyncio.Event().wait()
 
     async def send_answer(self, answer: Answer) -> None:
-        """Send a whole answer, with its length, in one piece."""
+        """Send a complete answer, with ``Content-Length``, in one write."""
         headers = [*answer.headers, ('content-length', str(len(answer.body)))]
         events = [self._build_head(answer.status, tuple(headers))]
         if answer.body:
@@ -174,50 +183,53 @@
     async def start_answer(
         self, status: int, headers: tuple[Header, ...]
     ) -> None:
-        """Send the head of an answer; without a length it is chunked."""
+        """Send the head of an answer.
+
+        The body is chunked unless the headers have a ``Content-Length``.
+        """
         await self._send(self._build_head(status, headers))
 
     def _build_head(
         self, status: int, headers: tuple[Header, ...]
     ) -> h11.Event:
         all_headers = list(headers)
-        if self._wire.their_state not in (h11.DONE, h11.MUST_CLOSE):
+        if self._h11.their_state not in (h11.DONE, h11.MUST_CLOSE):
             self._closing = True
         if self._closing:
             all_headers.append(('connection', 'close'))
         return h11.Response(
             status_code=status,
             headers=all_headers,
-            reason=_find_phrase(status),
+            reason=_get_reason_phrase(status),
         )
 
     async def send_part(self, data: bytes) -> None:
-        """Send a part of the body, waiting while the caller reads slowly.
+        """Send a part of the body, waiting while the write buffer is full.
 
-        :raises CallerGone: if the caller closed or stopped reading.
+        :raises CallerGone: if the caller disconnected or stopped reading.
         """
         await self._send(h11.Data(data=data))
 
     async def end_answer(self) -> None:
-        """Send the explicit end of the answer."""
+        """Send the end of the answer."""
         await self._send(h11.EndOfMessage())
 
-    def start_next(self) -> bool:
-        """Make ready for the next request; return False if there is none."""
+    def start_next_cycle(self) -> bool:
+        """Prepare for the next request; return False if there is none."""
         if self._closing:
             return False
-        both = (self._wire.our_state, self._wire.their_state)
-        if both != (h11.DONE, h11.DONE):
+        states = (self._h11.our_state, self._h11.their_state)
+        if states != (h11.DONE, h11.DONE):
             return False
-        self._wire.start_next_cycle()
+        self._h11.start_next_cycle()
         return True
 
     def abort(self) -> None:
-        """Cut the connection so that no one can mistake it for an end."""
+        """Close at once, so that an incomplete answer is seen as such."""
         self._writer.transport.abort()
 
     async def close(self) -> None:
-        """Close the connection, giving a sent answer time to arrive."""
+        """Close the connection after giving sent answers time to arrive."""
         if self._writer.transport.is_closing():
             return
         try:
@@ -228,8 +240,9 @@
             self._writer.close()
 
     async def _linger(self) -> None:
-        # A close with unread bytes resets the connection, and the reset can
-        # overtake the answer. So the rest of the request is read and dropped.
+        # Closing a socket with unread bytes resets the connection, and the
+        # caller can receive the reset before it has read the answer. So the
+        # rest of the request is read and discarded.
         if not self._writer.can_write_eof():
             return
         self._writer.write_eof()
@@ -241,19 +254,19 @@
             pass
 
     async def _wait_for_bytes(self) -> bool:
-        if self._wire.trailing_data[0]:
+        if self._h11.trailing_data[0]:
             return True
-        self._waiting = True
+        self._awaiting_request = True
         try:
             async with asyncio.timeout(self._limits.idle_seconds):
                 data = await self._reader.read(READ_BYTES)
         except (TimeoutError, OSError):
             return False
         finally:
-            self._waiting = False
+            self._awaiting_request = False
         if not data:
             return False
-        self._wire.receive_data(data)
+        self._h11.receive_data(data)
         return True
 
     async def _next_event(self) -> object:
@@ -261,7 +274,7 @@
             event = self._parse()
             if event is not h11.NEED_DATA:
                 return event
-            if self._wire.they_are_waiting_for_100_continue:
+            if self._h11.they_are_waiting_for_100_continue:
                 await self._send(
                     h11.InformationalResponse(status_code=100, headers=[])
                 )
@@ -269,11 +282,11 @@
                 data = await self._reader.read(READ_BYTES)
             except OSError as error:
                 raise CallerGone('the caller reset its connection') from error
-            self._wire.receive_data(data)
+            self._h11.receive_data(data)
 
     def _parse(self) -> object:
         try:
-            return self._wire.next_event()
+            return self._h11.next_event()
         except h11.RemoteProtocolError as error:
             kind = ErrorKind.MALFORMED_REQUEST
             if error.error_status_hint == STATUS_HEAD_TOO_LARGE:
@@ -290,11 +303,13 @@
                 continue
             if isinstance(event, h11.EndOfMessage):
                 return
-            raise CallerGone('the caller left before its body was complete')
+            raise CallerGone(
+                'the caller disconnected before its body was complete'
+            )
 
     def _check_head_size(self, head: RequestHead) -> None:
-        # The HTTP library bounds what it holds of an incomplete head; one
-        # that arrives whole in a single read passes it.
+        # h11 limits only the bytes that it buffers of an incomplete head; a
+        # head that arrives in a single read is not checked.
         size = len(head.target) + sum(
             len(name) + len(value) for name, value in head.headers
         )
@@ -326,9 +341,9 @@
                 field='content-length',
             )
         if length and int(length) > self._limits.body_bytes:
-            raise self._refuse_body(int(length))
+            raise self._make_body_refusal(int(length))
 
-    def _refuse_body(self, size: int) -> RequestRefused:
+    def _make_body_refusal(self, size: int) -> RequestRefused:
         self._closing = True
         return RequestRefused(
             ErrorKind.BODY_TOO_LARGE,
@@ -339,15 +354,15 @@
 
     async def _send(self, *events: h11.Event) -> None:
         try:
-            data = b''.join(self._wire.send(event) or b'' for event in events)
+            data = b''.join(self._h11.send(event) or b'' for event in events)
         except h11.LocalProtocolError as error:
             raise CallerGone(f'the connection is unusable: {error}') from error
         if not data:
             return
         self._writer.write(data)
-        if self._has_left():
-            # Nearly always. Timers for pieces and heads that needed
-            # none made 50 of the 186 system calls of a request.
+        if self._is_flushed():
+            # The usual case. Timers for writes that needed none caused 50 of
+            # the 186 system calls of a request.
             return
         try:
             async with asyncio.timeout(self._limits.stalled_reader_seconds):
@@ -358,8 +373,8 @@
         except OSError as error:
             raise CallerGone('the caller closed its connection') from error
 
-    def _has_left(self) -> bool:
-        """Return whether all that was written has been handed on."""
+    def _is_flushed(self) -> bool:
+        """Return whether the write buffer is empty, and writing possible."""
         transport = self._transport
         return (
             not transport.is_closing()
@@ -367,9 +382,9 @@
         )
 
 
-def _find_phrase(status: int) -> bytes:
+def _get_reason_phrase(status: int) -> bytes:
     try:
         return http.HTTPStatus(status).phrase.encode()
     except ValueError:
-        # An upstream's own status; the phrase says nothing to programs.
+        # A nonstandard status of an upstream. Clients ignore the phrase.
         return b''
--- a/tests/cover/test_byte_stream.py
+++ b/tests/cover/test_byte_stream.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Tests of what bounds the silence of a connection."""
+"""Tests of the TCP timeouts of a connection."""
 
 import asyncio
 import socket
@@ -18,13 +18,13 @@
 
 from lifttrestle.internal.http.address import Address
 from lifttrestle.internal.http.byte_stream import ByteStream
-from lifttrestle.internal.http.byte_stream import UNACKNOWLEDGED_MS
+from lifttrestle.internal.http.byte_stream import USER_TIMEOUT_MS
 
 MILLISECONDS = 1000
 
 
 async def open_pair():
-    """Return a server and both ends of one connection to it."""
+    """Return a server, and the client and server side of a connection."""
     loop = asyncio.get_running_loop()
     accepted = loop.create_future()
 
@@ -40,12 +40,12 @@
 
 
 def read_options(stream):
-    link = stream._transport.get_extra_info('socket')
+    sock = stream._transport.get_extra_info('socket')
 
     def get(option):
-        return link.getsockopt(socket.IPPROTO_TCP, option)
+        return sock.getsockopt(socket.IPPROTO_TCP, option)
 
-    alive = link.getsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE)
+    alive = sock.getsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE)
     probes_seconds = get(socket.TCP_KEEPIDLE) + get(
         socket.TCP_KEEPINTVL
     ) * get(socket.TCP_KEEPCNT)
@@ -56,17 +56,17 @@
     async def test_regression_silent_connection_without_traffic_is_broken(
         self,
     ):
-        # Only bytes that were not acknowledged broke a connection: one that
-        # went silent after its request had arrived held a caller until the
-        # end of its time.
+        # Without keepalive, only unacknowledged bytes closed a connection. If
+        # the upstream's host became unreachable after it had acknowledged the
+        # request, the caller waited until its deadline.
         server, *streams = await open_pair()
         try:
             for stream in streams:
-                alive, probes_seconds, unacknowledged_ms = read_options(stream)
+                alive, probes_seconds, user_timeout_ms = read_options(stream)
                 self.assertTrue(alive)
-                self.assertEqual(unacknowledged_ms, UNACKNOWLEDGED_MS)
+                self.assertEqual(user_timeout_ms, USER_TIMEOUT_MS)
                 self.assertLessEqual(
-                    probes_seconds * MILLISECONDS, UNACKNOWLEDGED_MS
+                    probes_seconds * MILLISECONDS, USER_TIMEOUT_MS
                 )
         finally:
             for stream in streams:
--- a/tests/cover/test_http_server.py
+++ b/tests/cover/test_http_server.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""The HTTP server's stop, in one process."""
+"""Tests of the graceful stop of the HTTP server, in one process."""
 
 import asyncio
 import contextlib
@@ -21,24 +21,25 @@
 from lifttrestle.internal.http.answer import Answer
 from lifttrestle.internal.http.head import RequestHead
 from lifttrestle.internal.http.limits import HttpLimits
-from lifttrestle.internal.http.server import ACCEPT_TURNS
+from lifttrestle.internal.http.server import ACCEPT_ITERATIONS
 from lifttrestle.internal.http.server import HttpServer
 from lifttrestle.internal.http.server_connection import ServerConnection
 
-# Less than the server buffers for a caller, so that sending returns at once.
+# Fits into the write buffer of a connection, so that sending does not block.
 ANSWER_BYTES = 60_000
 GRACE_SECONDS = 10.0
 REQUEST = b'GET / HTTP/1.1\r\nHost: a\r\n\r\n'
-# More turns of the loop than an accepted connection needs until it waits.
-TURNS = 10
+# More iterations of the event loop than an accepted connection needs until it
+# awaits a request.
+LOOP_ITERATIONS = 10
 
 
 class TestStop(unittest.IsolatedAsyncioTestCase):
     async def test_regression_buffered_end_of_an_answer_is_not_cut(
         self,
     ) -> None:
-        # The answer was complete in the server's buffer, so its connection
-        # counted as idle, and the stop threw away what was not sent yet.
+        # A connection counted as idle once its answer was in the write buffer,
+        # so the stop aborted it and discarded the bytes not yet sent.
         server = HttpServer(self.handle, HttpLimits())
         address = await server.start(Address('127.0.0.1', 0))
         raw = socket.socket()
@@ -58,17 +59,17 @@
         writer.close()
 
     def test_regression_stop_while_a_connection_is_accepted(self) -> None:
-        # A connection's task that was cancelled before its first step was
-        # told as a fault, with a traceback.
+        # If the task of a connection was cancelled before its first step, the
+        # event loop reported this as an error, with a traceback.
         for steps in range(12):
             with self.subTest(steps=steps):
                 self.assertEqual(asyncio.run(self._stop_after(steps)), [])
 
     async def _stop_after(self, steps: int) -> list[object]:
-        """Return the faults of a process that ends just then."""
-        faults: list[object] = []
+        """Return the errors reported if all tasks end after ``steps``."""
+        errors: list[object] = []
         loop = asyncio.get_running_loop()
-        loop.set_exception_handler(lambda _, told: faults.append(told))
+        loop.set_exception_handler(lambda _, context: errors.append(context))
         server = HttpServer(self.handle, HttpLimits())
         address = await server.start(Address('127.0.0.1', 0))
         raw = socket.create_connection((address.host, address.port))
@@ -81,12 +82,13 @@
         await asyncio.sleep(0)
         raw.close()
         await server.stop(0)
-        return faults
+        return errors
 
     async def test_regression_request_that_was_read_is_answered(self) -> None:
-        # A request that had been read from its connection, and not been
-        # looked at yet, went with the connection when the server stopped.
-        # A close with unread bytes resets; one after they were read does not.
+        # A request that had been read from the socket but not yet parsed when
+        # the server stopped was discarded, and its connection closed. A close
+        # with unread bytes resets the connection, which tells the caller that
+        # the request was not read; a close after they were read does not.
         answered = 0
         for steps in range(6):
             with self.subTest(steps=steps):
@@ -96,14 +98,14 @@
         self.assertGreater(answered, 0)
 
     async def _stop_after_request(self, steps: int) -> bytes | None:
-        """Return what a caller got, None if its request was never read."""
+        """Return the received bytes, None if the request was never read."""
         server = HttpServer(self.handle, HttpLimits())
         self.answered = asyncio.Event()
         address = await server.start(Address('127.0.0.1', 0))
         reader, writer = await asyncio.open_connection(
             address.host, address.port
         )
-        for _ in range(TURNS):
+        for _ in range(LOOP_ITERATIONS):
             await asyncio.sleep(0)
         writer.write(REQUEST)
         for _ in range(steps):
@@ -116,7 +118,7 @@
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> bytes | None:
-        """Return what comes until the end, None if the connection is reset."""
+        """Return the bytes up to the end, None if the connection is reset."""
         async with asyncio.timeout(GRACE_SECONDS):
             stopping = asyncio.create_task(server.stop(GRACE_SECONDS))
             try:
@@ -130,8 +132,9 @@
     async def test_regression_connection_just_accepted_is_not_lost(
         self,
     ) -> None:
-        # One whose listener closed within two turns of its acceptance was
-        # neither answered nor reset; within four, it was read and closed.
+        # If the listener closed within two iterations of the event loop after
+        # it had accepted a connection, the connection was neither answered nor
+        # reset; within four, its request was read and it was closed.
         for steps in range(14):
             with self.subTest(steps=steps):
                 server = HttpServer(self.handle, HttpLimits())
@@ -169,7 +172,7 @@
         while not server.busy:
             await asyncio.sleep(0)
         stopping = asyncio.create_task(server.stop(GRACE_SECONDS))
-        for _ in range(TURNS):
+        for _ in range(LOOP_ITERATIONS):
             await asyncio.sleep(0)
         writer.write(b'cd')
         async with asyncio.timeout(GRACE_SECONDS):
@@ -178,8 +181,9 @@
             self.assertTrue(await stopping)
 
     async def test_regression_request_sent_ahead_is_answered(self) -> None:
-        # An answer that had begun before the order to stop told nothing of a
-        # close. The next request on its connection was read and dropped.
+        # An answer that starts before the stop is announced does not tell the
+        # caller that the connection closes. The next request on it was read
+        # and discarded.
         release = asyncio.Event()
 
         async def stream(
@@ -211,7 +215,8 @@
             self.assertTrue(await stopping)
 
     async def test_stop_leaves_a_reader_that_was_paused(self) -> None:
-        # It was paused because its caller had sent too much ahead.
+        # The stop resumes only the connections that it paused itself, not one
+        # paused before, as when its caller has pipelined too many bytes.
         release = asyncio.Event()
 
         async def wait(
@@ -229,7 +234,7 @@
             await asyncio.sleep(0)
         self.connection.pause_reading()
         stopping = asyncio.create_task(server.stop(GRACE_SECONDS))
-        for _ in range(TURNS + ACCEPT_TURNS):
+        for _ in range(LOOP_ITERATIONS + ACCEPT_ITERATIONS):
             await asyncio.sleep(0)
         self.assertFalse(self.connection.pause_reading())
         release.set()
