--- a/src/lifttrestle/internal/fleet/stop_sequence.py
+++ b/src/lifttrestle/internal/fleet/stop_sequence.py
@@ -65,7 +65,7 @@
         'router.stopped',
         after_ms=_get_elapsed_ms(shutdown),
         every_request_ended=all_ended,
-        cut=callers.cut,
+        cut=callers.aborted_requests,
         given_up=shutdown.given_up,
     )
     return all_ended
