--- a/src/lifttrestle/internal/clock/beat.py
+++ b/src/lifttrestle/internal/clock/ticker.py
@@ -25,7 +25,7 @@
 NEAR_SHARE = 0.01
 
 
-class Beat:
+class Ticker:
     """Ends waits at multiples of their periods, from a common start.
 
     :param phase: seconds; processes that start together should differ in it,
--- a/src/lifttrestle/internal/fleet/crashes/holds.py
+++ b/src/lifttrestle/internal/fleet/crashes/holds.py
@@ -25,8 +25,8 @@
 
 from lifttrestle.errors import ConditionFailed
 from lifttrestle.errors import PlatformUnavailable
-from lifttrestle.internal.clock.beat import Beat
 from lifttrestle.internal.clock.clock import Clock
+from lifttrestle.internal.clock.ticker import Ticker
 from lifttrestle.internal.fleet.crashes.held_row import build_key
 from lifttrestle.internal.fleet.crashes.held_row import decode_held_row
 from lifttrestle.internal.fleet.crashes.held_row import encode_held_row
@@ -206,7 +206,7 @@
         due_at = self._clock.monotonic() + delay
         self._due[digest] = DueWrite(due_at, row)
 
-    async def run(self, beat: Beat) -> None:
+    async def run(self, beat: Ticker) -> None:
         """Run the scheduled writes until cancelled."""
         while True:
             await beat.wait(POLL_SECONDS)
--- a/src/lifttrestle/internal/fleet/crashes/tracker.py
+++ b/src/lifttrestle/internal/fleet/crashes/tracker.py
@@ -15,8 +15,8 @@
 import asyncio
 import dataclasses
 
-from lifttrestle.internal.clock.beat import Beat
 from lifttrestle.internal.clock.clock import Clock
+from lifttrestle.internal.clock.ticker import Ticker
 from lifttrestle.internal.fleet.crashes.held_row import format_digest
 from lifttrestle.internal.fleet.crashes.held_row import HeldRow
 from lifttrestle.internal.fleet.crashes.holds import build_held_row
@@ -93,7 +93,7 @@
         self.losses.on_crashed = self._note_crashed
         self.losses.on_crash_retracted = self._retract_crash
 
-    async def run(self, beat: Beat) -> None:
+    async def run(self, beat: Ticker) -> None:
         """Run replication, row writes and the sweep until cancelled."""
         await asyncio.gather(
             self.replicator.run(),
@@ -101,7 +101,7 @@
             self._run_sweep(beat),
         )
 
-    async def _run_sweep(self, beat: Beat) -> None:
+    async def _run_sweep(self, beat: Ticker) -> None:
         while True:
             await beat.wait(POLL_SECONDS)
             self.losses.sweep(self._is_listed)
--- a/src/lifttrestle/internal/fleet/limits/memory.py
+++ b/src/lifttrestle/internal/fleet/limits/memory.py
@@ -20,8 +20,8 @@
 from collections.abc import Callable
 from collections.abc import Iterator
 
-from lifttrestle.internal.clock.beat import Beat
 from lifttrestle.internal.clock.clock import Clock
+from lifttrestle.internal.clock.ticker import Ticker
 from lifttrestle.internal.fleet.limits.allocators import PermitAllocators
 from lifttrestle.internal.fleet.limits.limit_state import LimitState
 from lifttrestle.internal.fleet.limits.messages import LimitSyncRequest
@@ -179,7 +179,7 @@
         """Return whether other routers sent their limits, or had time to."""
         return self._replicator.is_synced()
 
-    async def run(self, beat: Beat) -> None:
+    async def run(self, beat: Ticker) -> None:
         """Send updates and sweep until cancelled."""
         await asyncio.gather(
             self._replicator.run(),
@@ -191,7 +191,7 @@
         while not self.is_synced():
             await self._clock.sleep(SYNC_POLL_SECONDS)
 
-    async def _run_sweeps(self, beat: Beat) -> None:
+    async def _run_sweeps(self, beat: Ticker) -> None:
         while True:
             await beat.wait(SWEEP_SECONDS)
             self.sweep()
--- a/src/lifttrestle/internal/fleet/loads/weights_loader.py
+++ b/src/lifttrestle/internal/fleet/loads/weights_loader.py
@@ -26,8 +26,8 @@
 
 from lifttrestle.errors import ConditionFailed
 from lifttrestle.errors import PlatformUnavailable
-from lifttrestle.internal.clock.beat import Beat
 from lifttrestle.internal.clock.clock import Clock
+from lifttrestle.internal.clock.ticker import Ticker
 from lifttrestle.internal.fleet.loads.engine_control import EngineControl
 from lifttrestle.internal.fleet.loads.engine_control import EngineState
 from lifttrestle.internal.fleet.loads.engine_control import LoadOrder
@@ -91,7 +91,7 @@
         # All engines held the weights when things stood like this.
         self._complete: dict[str, tuple[int, ...]] = {}
 
-    async def run(self, beat: Beat) -> None:
+    async def run(self, beat: Ticker) -> None:
         """Load what is missing, for ever."""
         while True:
             await beat.wait(POLL_SECONDS)
--- a/src/lifttrestle/internal/fleet/process.py
+++ b/src/lifttrestle/internal/fleet/process.py
@@ -21,8 +21,8 @@
 
 import prometheus_client
 
-from lifttrestle.internal.clock.beat import Beat
 from lifttrestle.internal.clock.clock import Clock
+from lifttrestle.internal.clock.ticker import Ticker
 from lifttrestle.internal.fleet.control_tasks import ControlTasks
 from lifttrestle.internal.fleet.crashes.messages import CrashUpdate
 from lifttrestle.internal.fleet.crashes.tracker import CrashTracker
@@ -117,7 +117,7 @@
         self._source = source
         self.store = store
         self._format = stored_format
-        self.beat = Beat(clock, source.random())
+        self.beat = Ticker(clock, source.random())
         self._stop = asyncio.Event()
         self._reload = asyncio.Event()
         self._control = ControlTasks(self._stop.set)
--- a/src/lifttrestle/internal/fleet/stall_watch.py
+++ b/src/lifttrestle/internal/fleet/stall_watch.py
@@ -12,7 +12,7 @@
 
 """Tells when the process stood still: a frozen VM leaves no other trace."""
 
-from lifttrestle.internal.clock.beat import Beat
+from lifttrestle.internal.clock.ticker import Ticker
 from lifttrestle.internal.telemetry.event_log import get_event_log
 
 LOG = get_event_log('router')
@@ -21,7 +21,7 @@
 STALL_SECONDS = 0.5
 
 
-async def watch_stalls(beat: Beat) -> None:
+async def watch_stalls(beat: Ticker) -> None:
     """Tell of each time that the process did not run, for ever."""
     while True:
         late = await beat.wait(LOOK_SECONDS)
--- a/src/lifttrestle/internal/fleet/state/reach_probing.py
+++ b/src/lifttrestle/internal/fleet/state/reach_probing.py
@@ -23,8 +23,8 @@
 from collections.abc import Iterable
 
 from lifttrestle.errors import UpstreamConnectFailed
-from lifttrestle.internal.clock.beat import Beat
 from lifttrestle.internal.clock.clock import Clock
+from lifttrestle.internal.clock.ticker import Ticker
 from lifttrestle.internal.fleet.state.cache_stores import CacheStore
 from lifttrestle.internal.fleet.state.cache_stores import CacheStores
 from lifttrestle.internal.fleet.state.directory import UpstreamDirectory
@@ -63,7 +63,7 @@
         # if it was not, whether nothing listens there.
         self.tell_probed: Callable[[str, bool, bool], None] = _tell_nobody
 
-    async def run(self, beat: Beat) -> None:
+    async def run(self, beat: Ticker) -> None:
         """Probe what is in doubt, for ever."""
         try:
             while True:
--- a/src/lifttrestle/internal/fleet/state/relay_follower.py
+++ b/src/lifttrestle/internal/fleet/state/relay_follower.py
@@ -22,8 +22,8 @@
 
 from lifttrestle.errors import InputRefused
 from lifttrestle.errors import PlatformUnavailable
-from lifttrestle.internal.clock.beat import Beat
 from lifttrestle.internal.clock.clock import Clock
+from lifttrestle.internal.clock.ticker import Ticker
 from lifttrestle.internal.fleet.state.relay_messages import encode_frame
 from lifttrestle.internal.fleet.state.relay_messages import MAX_NEWS_BYTES
 from lifttrestle.internal.fleet.state.relay_messages import Question
@@ -86,7 +86,7 @@
         self._relays: list[str] = []
         self._directly = True
 
-    async def run(self, beat: Beat) -> None:
+    async def run(self, beat: Ticker) -> None:
         """Ask other routers, or see to it that the store is read."""
         began = self._clock.monotonic()
         self._told_at = began - SILENT_SECONDS + START_SECONDS
--- a/src/lifttrestle/internal/telemetry/event_sink.py
+++ b/src/lifttrestle/internal/telemetry/event_sink.py
@@ -25,8 +25,8 @@
 import msgspec
 
 from lifttrestle.internal.admission.bucket import TokenBucket
-from lifttrestle.internal.clock.beat import Beat
 from lifttrestle.internal.clock.clock import Clock
+from lifttrestle.internal.clock.ticker import Ticker
 from lifttrestle.internal.telemetry.event_log import FIELDS
 from lifttrestle.internal.telemetry.event_log import ROOT
 from lifttrestle.internal.telemetry.event_log import WHOLE
@@ -64,7 +64,7 @@
         """Return how many lines were not written since the last summary."""
         return self._output.dropped
 
-    async def run(self, beat: Beat) -> None:
+    async def run(self, beat: Ticker) -> None:
         """Let lines come together, and write them now and then, for ever."""
         self._collects = True
         try:
--- a/tests/cover/test_event_log.py
+++ b/tests/cover/test_event_log.py
@@ -24,8 +24,8 @@
 from hypothesis import strategies as st
 import msgspec
 
-from lifttrestle.internal.clock.beat import Beat
 from lifttrestle.internal.clock.manual import ManualClock
+from lifttrestle.internal.clock.ticker import Ticker
 from lifttrestle.internal.fleet.path.decision_log import DecisionLog
 from lifttrestle.internal.telemetry.event_log import get_event_log
 from lifttrestle.internal.telemetry.event_sink import BURST
@@ -85,7 +85,7 @@
         log = get_event_log('x')
 
         async def run():
-            writing = asyncio.create_task(sink.run(Beat(self.clock)))
+            writing = asyncio.create_task(sink.run(Ticker(self.clock)))
             await asyncio.sleep(0)
             for number in range(5):
                 log.info('step', number=number)
--- a/tests/cover/test_relay_follower.py
+++ b/tests/cover/test_relay_follower.py
@@ -21,8 +21,8 @@
 import msgspec
 
 from lifttrestle.errors import InputRefused
-from lifttrestle.internal.clock.beat import Beat
 from lifttrestle.internal.clock.manual import ManualClock
+from lifttrestle.internal.clock.ticker import Ticker
 from lifttrestle.internal.fleet.state.relay_follower import AVOID_SECONDS
 from lifttrestle.internal.fleet.state.relay_follower import LOOK_SECONDS
 from lifttrestle.internal.fleet.state.relay_follower import RANKING
@@ -89,7 +89,7 @@
 
     async def follow(self):
         """Let the follower look for three times the time of avoidance."""
-        running = asyncio.create_task(self.follower.run(Beat(self.clock)))
+        running = asyncio.create_task(self.follower.run(Ticker(self.clock)))
         await settle()
         for _ in range(int(3 * AVOID_SECONDS / LOOK_SECONDS)):
             self.clock.advance(LOOK_SECONDS)
--- a/tests/cover/test_stall_watch.py
+++ b/tests/cover/test_stall_watch.py
@@ -16,8 +16,8 @@
 import datetime
 import unittest
 
-from lifttrestle.internal.clock.beat import Beat
 from lifttrestle.internal.clock.manual import ManualClock
+from lifttrestle.internal.clock.ticker import Ticker
 from lifttrestle.internal.fleet.stall_watch import LOOK_SECONDS
 from lifttrestle.internal.fleet.stall_watch import STALL_SECONDS
 from lifttrestle.internal.fleet.stall_watch import watch_stalls
@@ -29,7 +29,7 @@
     def run_for(self, *pauses):
         async def run():
             clock = ManualClock(START)
-            watching = asyncio.create_task(watch_stalls(Beat(clock)))
+            watching = asyncio.create_task(watch_stalls(Ticker(clock)))
             for pause in pauses:
                 await asyncio.sleep(0)
                 clock.advance(pause)
--- a/tests/cover/test_suspension.py
+++ b/tests/cover/test_suspension.py
@@ -24,10 +24,10 @@
 import unittest
 from unittest import mock
 
-from lifttrestle.internal.clock.beat import Beat
 from lifttrestle.internal.clock.elapsed import run_main
 from lifttrestle.internal.clock.guarded import GuardedClock
 from lifttrestle.internal.clock.system import SystemClock
+from lifttrestle.internal.clock.ticker import Ticker
 from lifttrestle.internal.fleet.loads.weights_loader import WeightsLoader
 from lifttrestle.internal.fleet.state.load_messages import LoadReport
 from lifttrestle.internal.fleet.state.load_messages import UpstreamLoad
@@ -123,7 +123,7 @@
 
     def test_beat_tells_by_how_much_it_was_late(self):
         async def work(machine):
-            beat = Beat(SystemClock())
+            beat = Ticker(SystemClock())
             waiting = asyncio.create_task(beat.wait(0.1))
             await asyncio.sleep(0)
             machine.suspend(5.0)
--- a/tests/cover/test_beat.py
+++ b/tests/cover/test_ticker.py
@@ -19,8 +19,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lifttrestle.internal.clock.beat import Beat
 from lifttrestle.internal.clock.manual import ManualClock
+from lifttrestle.internal.clock.ticker import Ticker
 
 START = datetime.datetime(2026, 12, 3, tzinfo=datetime.timezone.utc)
 
@@ -38,9 +38,9 @@
         self.advance(seconds + self.late)
 
 
-class TestBeat(unittest.TestCase):
+class TestTicker(unittest.TestCase):
     def wait(self, clock, *periods, phase=0.0):
-        beat = Beat(clock, phase)
+        beat = Ticker(clock, phase)
 
         async def run():
             return [await beat.wait(period) for period in periods]
--- a/tests/support/limit_simulation.py
+++ b/tests/support/limit_simulation.py
@@ -30,8 +30,8 @@
 
 import msgspec
 
-from lifttrestle.internal.clock.beat import Beat
 from lifttrestle.internal.clock.manual import ManualClock
+from lifttrestle.internal.clock.ticker import Ticker
 from lifttrestle.internal.fleet.limits.memory import UpstreamLimits
 from lifttrestle.internal.fleet.policy.limit_belief import ReportedLimit
 from lifttrestle.internal.fleet.policy.limit_permits import rank_request
@@ -222,7 +222,7 @@
             knows_upstreams,
         )
         self._connect(limits, number)
-        beat = Beat(simulation.clock, simulation.source.random())
+        beat = Ticker(simulation.clock, simulation.source.random())
         self._tasks.append(asyncio.create_task(limits.run(beat)))
         return limits
 
