--- a/src/lifttrestle/internal/router/chooser.py
+++ b/src/lifttrestle/internal/router/chooser.py
@@ -57,7 +57,7 @@
         """
         parts = self._parts
         target = self._narrow_place(scope, target)
-        fit = parts.registry.find_fit(target, tried)
+        fit = parts.registry.list_available(target, tried)
         name = target.model or target.group
         if not fit:
             raise RequestRefused(
--- a/src/lifttrestle/internal/router/kept_stream.py
+++ b/src/lifttrestle/internal/router/kept_stream.py
@@ -51,7 +51,7 @@
         if connection is not None:
             connection.close()
         return None
-    same = parts.driver.read_identity(answer) == identity
+    same = parts.driver.decode_identity(answer) == identity
     if answer.status != STATUS_OK or not same:
         connection.close()
         return None
--- a/src/lifttrestle/internal/router/model_exchange.py
+++ b/src/lifttrestle/internal/router/model_exchange.py
@@ -173,7 +173,7 @@
     async def _take_answer(
         self, attempt: Attempt, call: UpstreamCall, request_id: str
     ) -> None:
-        identity = self._parts.driver.read_identity(call.head)
+        identity = self._parts.driver.decode_identity(call.head)
         try:
             check_answer(self._parts, attempt, call, request_id)
             check_engine_status(attempt, call)
--- a/src/lifttrestle/internal/upstream/breaker.py
+++ b/src/lifttrestle/internal/upstream/breaker.py
@@ -14,7 +14,7 @@
 
 import enum
 
-OPEN_AFTER_FAILURES = 3
+FAILURE_THRESHOLD = 3
 FIRST_OPEN_SECONDS = 0.5
 MAX_OPEN_SECONDS = 15.0
 
@@ -83,7 +83,7 @@
         """Note a failed connection, a broken answer or a timeout."""
         self._failures += 1
         event = BreakerEvent.FAILURE
-        if self._failures >= OPEN_AFTER_FAILURES:
+        if self._failures >= FAILURE_THRESHOLD:
             event = BreakerEvent.THRESHOLD
         if self.state is BreakerState.HALF_OPEN:
             event = BreakerEvent.FAILURE
--- a/src/lifttrestle/internal/upstream/driver.py
+++ b/src/lifttrestle/internal/upstream/driver.py
@@ -33,14 +33,14 @@
         """Return the request that asks for the engine's state."""
 
     @abc.abstractmethod
-    def read_probe(self, body: bytes) -> EngineReport:
+    def decode_report(self, body: bytes) -> EngineReport:
         """Return the state in an answer to the probe.
 
         :raises ValueError: if the answer is not a state.
         """
 
     @abc.abstractmethod
-    def read_identity(self, head: ResponseHead) -> EngineIdentity:
+    def decode_identity(self, head: ResponseHead) -> EngineIdentity:
         """Return which engine answered; empty where the head is silent."""
 
     @abc.abstractmethod
--- a/src/lifttrestle/internal/upstream/exclusion.py
+++ b/src/lifttrestle/internal/upstream/exclusion.py
@@ -17,7 +17,7 @@
 import enum
 
 from lifttrestle.internal.settings.upstream import UpstreamKind
-from lifttrestle.internal.upstream.report import UNPROVED
+from lifttrestle.internal.upstream.report import NO_REPORT
 from lifttrestle.internal.upstream.state import UpstreamState
 
 
@@ -86,7 +86,8 @@
     (
         Exclusion.UNPROVED,
         lambda upstream, _target, _: (
-            upstream.report is UNPROVED and upstream.settings.can.reports_state
+            upstream.report is NO_REPORT
+            and upstream.settings.can.reports_state
         ),
     ),
     (
--- a/src/lifttrestle/internal/upstream/prober.py
+++ b/src/lifttrestle/internal/upstream/prober.py
@@ -21,7 +21,7 @@
 from lifttrestle.internal.settings.router import RouterSettings
 from lifttrestle.internal.upstream.driver import EngineDriver
 from lifttrestle.internal.upstream.report import EngineReport
-from lifttrestle.internal.upstream.report import UNPROVED
+from lifttrestle.internal.upstream.report import NO_REPORT
 from lifttrestle.internal.upstream.state import UpstreamState
 
 LOG = logging.getLogger('lifttrestle.upstream')
@@ -64,7 +64,7 @@
             )
             if answer.status != OK:
                 raise ValueError(f'status {answer.status}')
-            report = self._driver.read_probe(answer.body)
+            report = self._driver.decode_report(answer.body)
         except (PlatformUnavailable, ValueError) as error:
             self._note_silence(error)
             return
@@ -90,5 +90,5 @@
         self._missed += 1
         if self._missed != MISSED_PROBES:
             return
-        self._upstream.report = UNPROVED
+        self._upstream.report = NO_REPORT
         LOG.warning('upstream: %s is silent: %s', self._upstream.name, error)
--- a/src/lifttrestle/internal/upstream/registry.py
+++ b/src/lifttrestle/internal/upstream/registry.py
@@ -54,7 +54,9 @@
         """Return the upstream of that name."""
         return self._states[name]
 
-    def find_fit(self, target: Target, tried: set[str]) -> list[UpstreamState]:
+    def list_available(
+        self, target: Target, tried: set[str]
+    ) -> list[UpstreamState]:
         """Return the upstreams that may serve ``target`` now."""
         attempted = Attempted(tried, self._clock.monotonic())
         return [
--- a/src/lifttrestle/internal/upstream/report.py
+++ b/src/lifttrestle/internal/upstream/report.py
@@ -34,10 +34,10 @@
     waiting: int = 0
 
 
-class Unproved(enum.Enum):
+class NoReport(enum.Enum):
     """The sentinel for an upstream that has said nothing yet."""
 
-    UNPROVED = 'unproved'
+    NO_REPORT = 'unproved'
 
 
-UNPROVED = Unproved.UNPROVED
+NO_REPORT = NoReport.NO_REPORT
--- a/src/lifttrestle/internal/upstream/standard_driver.py
+++ b/src/lifttrestle/internal/upstream/standard_driver.py
@@ -33,11 +33,11 @@
         """Return the request that asks for the engine's state."""
         return RequestHead('GET', STATE_PATH)
 
-    def read_probe(self, body: bytes) -> EngineReport:
+    def decode_report(self, body: bytes) -> EngineReport:
         """Return the state in an answer to the probe."""
         return msgspec.json.decode(body, type=EngineReport)
 
-    def read_identity(self, head: ResponseHead) -> EngineIdentity:
+    def decode_identity(self, head: ResponseHead) -> EngineIdentity:
         """Return which engine answered; empty where the head is silent."""
         return EngineIdentity(
             head.get_header('x-engine-incarnation'),
--- a/src/lifttrestle/internal/upstream/state.py
+++ b/src/lifttrestle/internal/upstream/state.py
@@ -18,8 +18,8 @@
 from lifttrestle.internal.settings.upstream import UpstreamSettings
 from lifttrestle.internal.upstream.breaker import Breaker
 from lifttrestle.internal.upstream.report import EngineReport
-from lifttrestle.internal.upstream.report import UNPROVED
-from lifttrestle.internal.upstream.report import Unproved
+from lifttrestle.internal.upstream.report import NO_REPORT
+from lifttrestle.internal.upstream.report import NoReport
 
 
 @dataclasses.dataclass
@@ -33,7 +33,7 @@
 
     settings: UpstreamSettings
     pool: ClientPool
-    report: EngineReport | Unproved = UNPROVED
+    report: EngineReport | NoReport = NO_REPORT
     reported_at: float = 0.0
     in_flight: int = 0
     leaving: bool = False
--- a/tests/cover/test_admission.py
+++ b/tests/cover/test_admission.py
@@ -28,9 +28,9 @@
 from lifttrestle.internal.configuration.model import Workspace
 from lifttrestle.internal.upstream.breaker import Breaker
 from lifttrestle.internal.upstream.breaker import BreakerState
+from lifttrestle.internal.upstream.breaker import FAILURE_THRESHOLD
 from lifttrestle.internal.upstream.breaker import FIRST_OPEN_SECONDS
 from lifttrestle.internal.upstream.breaker import MAX_OPEN_SECONDS
-from lifttrestle.internal.upstream.breaker import OPEN_AFTER_FAILURES
 
 START = datetime.datetime(2026, 12, 6, tzinfo=datetime.timezone.utc)
 
@@ -142,7 +142,7 @@
 
 class TestBreaker(unittest.TestCase):
     def fail_until_open(self, breaker: Breaker, now: float) -> None:
-        for _ in range(OPEN_AFTER_FAILURES):
+        for _ in range(FAILURE_THRESHOLD):
             breaker.note_failure(now)
         self.assertIs(breaker.state, BreakerState.OPEN)
 
--- a/tests/cover/test_orders.py
+++ b/tests/cover/test_orders.py
@@ -30,7 +30,7 @@
 from lifttrestle.internal.store.memory_table import MemoryTable
 from lifttrestle.internal.store.row import Transaction
 from lifttrestle.internal.upstream.report import EngineReport
-from lifttrestle.internal.upstream.report import UNPROVED
+from lifttrestle.internal.upstream.report import NO_REPORT
 from lifttrestle.internal.upstream.state import UpstreamState
 
 START = datetime.datetime(2026, 12, 6, tzinfo=datetime.timezone.utc)
@@ -147,7 +147,7 @@
         old = EngineReport('one', {'m': 'v1'})
         self.assertEqual(len(self.find(old)), 1)
         self.assertEqual(self.find(EngineReport('one', {'m': 'v2'})), [])
-        self.assertEqual(self.find(UNPROVED), [])
+        self.assertEqual(self.find(NO_REPORT), [])
         self.assertEqual(self.find(old, place='bangna'), [])
 
     def test_engine_that_does_not_check_gets_no_order(self) -> None:
--- a/tests/nocover/test_fleet_callers.py
+++ b/tests/nocover/test_fleet_callers.py
@@ -171,7 +171,7 @@
             # Callers and the router share one event loop here. On a busy
             # machine a flood blocks it for seconds, longer than the greatest
             # permitted age of the view.
-            fleet.clock.hold()
+            fleet.clock.freeze()
             idle = await asyncio.gather(
                 *(
                     asyncio.open_connection(address.host, address.port)
@@ -179,7 +179,7 @@
                 )
             )
             self.assertTrue(fleet.router.is_ready())
-            fleet.clock.go_on()
+            fleet.clock.resume()
             answer = await fleet.call('/safe/a')
             for _, writer in idle:
                 writer.close()
--- a/tests/support/shifted_clock.py
+++ b/tests/support/shifted_clock.py
@@ -28,11 +28,11 @@
         """Let ``seconds`` have passed."""
         self._skipped += seconds
 
-    def hold(self) -> None:
-        """Let no time pass, however slow the machine is, until ``go_on``."""
+    def freeze(self) -> None:
+        """Let no time pass, however slow the machine is, until ``resume``."""
         self._held = self.monotonic()
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
         """Let time pass again, from where it was held."""
         if self._held is not None:
             self._skipped = self._held - super().monotonic()
