--- a/src/lifttrestle/internal/clock/clock.py
+++ b/src/lifttrestle/internal/clock/clock.py
@@ -10,26 +10,26 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""The interface through which all decision code reads the time."""
+"""The clock interface that all time-dependent code uses."""
 
 import abc
 import datetime
 
 
 class Clock(abc.ABC):
-    """A source of wall time and of a time that never goes back."""
+    """A source of wall time and monotonic time."""
 
     @abc.abstractmethod
     def now(self) -> datetime.datetime:
-        """Return the wall time, aware and in UTC."""
+        """Return the wall time as a timezone-aware datetime in UTC."""
 
     @abc.abstractmethod
     def monotonic(self) -> float:
-        """Return seconds since an arbitrary start; it never decreases.
+        """Return seconds since an arbitrary origin; never decreases.
 
-        The time for which the machine is suspended counts.
+        Time during which the machine is suspended is included.
         """
 
     @abc.abstractmethod
     async def sleep(self, seconds: float) -> None:
-        """Return after ``seconds`` of the monotonic time."""
+        """Return after ``seconds`` of monotonic time."""
--- a/src/lifttrestle/internal/clock/elapsed.py
+++ b/src/lifttrestle/internal/clock/elapsed.py
@@ -10,12 +10,12 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""The time that has truly passed, for the clock and for the event loop.
+"""Monotonic time that includes suspensions, for the clock and the event loop.
 
-The system's steady clock does not count the time for which the machine is
-suspended. What acts on age would then take for fresh what is old: whether keys
-are current, a lease, a caller's time limit, what others told of their loads.
-This time goes on, and never goes back either.
+CLOCK_MONOTONIC does not advance while the machine is suspended. Checks of an
+age would then accept stale data after a resume: API keys, leases, request
+deadlines and load reports of other routers. CLOCK_BOOTTIME is monotonic, too,
+and advances during a suspension.
 """
 
 import asyncio
@@ -25,31 +25,31 @@
 from typing import TypeVar
 
 T = TypeVar('T')
-# Only Linux has it; elsewhere a suspension is not counted.
+# Available on Linux only; other systems do not count suspensions.
 BOOT_CLOCK: int | None = getattr(time, 'CLOCK_BOOTTIME', None)
 
 
 def read_elapsed() -> float:
-    """Return seconds since an arbitrary start, suspensions among them."""
+    """Return seconds since an arbitrary origin, including suspensions."""
     if BOOT_CLOCK is None:
         return time.monotonic()
     return time.clock_gettime(BOOT_CLOCK)
 
 
 class ElapsedTimeLoop(asyncio.SelectorEventLoop):
-    """Counts the time of a suspension against every timeout and pause.
+    """An event loop whose timers include the time of suspensions.
 
-    The system waits by its steady clock, so that a timer which ran out in a
-    suspension is looked at when the next one of the loop is due after the
-    wake, 0.1 s later at the most in a router.
+    The selector still waits by CLOCK_MONOTONIC. A timer that expires during a
+    suspension therefore runs when the next timer of the loop is due after the
+    resume, which in a router is at most 0.1 s later.
     """
 
     def time(self) -> float:
-        """Return the loop's time, by which it has its timers run."""
+        """Return the time by which the loop schedules its timers."""
         return read_elapsed()
 
 
 def run_main(main: Coroutine[Any, Any, T]) -> T:
-    """Run a program's main task to its end, and return what it returns."""
+    """Run the main coroutine in an ``ElapsedTimeLoop``; return its result."""
     with asyncio.Runner(loop_factory=ElapsedTimeLoop) as runner:
         return runner.run(main)
--- a/src/lifttrestle/internal/clock/guarded.py
+++ b/src/lifttrestle/internal/clock/guarded.py
@@ -10,11 +10,11 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""A clock that a forward step of the machine's clock does not carry away.
+"""A clock that limits forward steps of the system's wall time.
 
-Release times depend on wall time. A machine whose clock jumps ahead would
-open an embargo early, so wall time may not outrun the monotonic time by more
-than a bound. A step back is followed: it can only open something later.
+Release times depend on wall time, and a system clock that jumps ahead would
+end an embargo early. Wall time therefore may not run ahead of monotonic time
+by more than a bound. Backward steps are passed on: they only delay releases.
 """
 
 import datetime
@@ -28,10 +28,10 @@
 class GuardedClock(Clock):
     """Wraps a clock and caps its wall time.
 
-    :param clock: the clock to guard; its wall time is taken as right when
-        this object is made.
-    :param bound_seconds: how far wall time may run ahead, for a machine
-        whose clock is slewed.
+    :param clock: the clock to wrap; its wall time is assumed to be correct
+        when this object is created.
+    :param bound_seconds: how far wall time may run ahead of monotonic time;
+        allows for a system clock that is being slewed.
     """
 
     def __init__(self, clock: Clock, bound_seconds: float) -> None:
@@ -39,29 +39,29 @@
         self._bound = datetime.timedelta(seconds=bound_seconds)
         self._wall = clock.now()
         self._monotonic = clock.monotonic()
-        self._told = False
+        self._warned = False
 
     def now(self) -> datetime.datetime:
-        """Return the wall time, or the latest that it can truly be."""
+        """Return the wall time, at most its upper bound."""
         wall = self._clock.now()
-        passed = self._clock.monotonic() - self._monotonic
-        latest = self._wall + datetime.timedelta(seconds=passed) + self._bound
+        elapsed = self._clock.monotonic() - self._monotonic
+        latest = self._wall + datetime.timedelta(seconds=elapsed) + self._bound
         if wall <= latest:
             return wall
-        if not self._told:
-            self._told = True
+        if not self._warned:
+            self._warned = True
             LOG.warning(
-                'clock: the machine says %s, but it can be %s at the latest;'
-                ' restart the router if the machine is right',
+                'clock: the system time %s is later than its upper bound %s;'
+                ' restart the router if the system time is correct',
                 wall.isoformat(),
                 latest.isoformat(),
             )
         return latest
 
     def monotonic(self) -> float:
-        """Return the guarded clock's monotonic time."""
+        """Return the monotonic time of the wrapped clock."""
         return self._clock.monotonic()
 
     async def sleep(self, seconds: float) -> None:
-        """Return after ``seconds`` of the monotonic time."""
+        """Return after ``seconds`` of monotonic time."""
         await self._clock.sleep(seconds)
--- a/src/lifttrestle/internal/clock/manual.py
+++ b/src/lifttrestle/internal/clock/manual.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""A clock that moves only when told to, for replay and tests."""
+"""A manually advanced clock for replay and tests."""
 
 import asyncio
 import datetime
@@ -19,7 +19,7 @@
 
 
 class ManualClock(Clock):
-    """Stands still until it is advanced or stepped."""
+    """Changes its time only through ``advance`` and ``step``."""
 
     def __init__(self, start: datetime.datetime) -> None:
         self._now = start
@@ -27,27 +27,27 @@
         self._sleepers: list[tuple[float, asyncio.Future[None]]] = []
 
     def now(self) -> datetime.datetime:
-        """Return the wall time that was set."""
+        """Return the simulated wall time."""
         return self._now
 
     def monotonic(self) -> float:
-        """Return the seconds by which the clock was advanced."""
+        """Return the total of seconds by which the clock was advanced."""
         return self._monotonic
 
     def advance(self, seconds: float) -> None:
-        """Let ``seconds`` pass on both times."""
+        """Advance wall time and monotonic time by ``seconds``."""
         self._monotonic += seconds
         self._now += datetime.timedelta(seconds=seconds)
         self._wake()
 
     async def sleep(self, seconds: float) -> None:
-        """Return once the clock was advanced by ``seconds``."""
+        """Return once the clock has been advanced by ``seconds``."""
         future = asyncio.get_running_loop().create_future()
         self._sleepers.append((self._monotonic + seconds, future))
         await future
 
     def step(self, seconds: float) -> None:
-        """Move the wall time alone, as a corrected machine clock does."""
+        """Step the wall time only, as when a system clock is corrected."""
         self._now += datetime.timedelta(seconds=seconds)
 
     def _wake(self) -> None:
--- a/src/lifttrestle/internal/clock/system.py
+++ b/src/lifttrestle/internal/clock/system.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""The clock of the machine."""
+"""The clock of the operating system."""
 
 import asyncio
 import datetime
@@ -20,16 +20,16 @@
 
 
 class SystemClock(Clock):
-    """Reads the operating system's clocks."""
+    """Reads wall time and monotonic time from the operating system."""
 
     def now(self) -> datetime.datetime:
-        """Return the machine's wall time in UTC."""
+        """Return the system's wall time in UTC."""
         return datetime.datetime.now(datetime.timezone.utc)
 
     def monotonic(self) -> float:
-        """Return seconds that never go back and count suspensions."""
+        """Return monotonic seconds, including suspensions."""
         return read_elapsed()
 
     async def sleep(self, seconds: float) -> None:
-        """Let other tasks run for ``seconds``."""
+        """Suspend the current task for ``seconds``."""
         await asyncio.sleep(seconds)
--- a/src/lifttrestle/internal/clock/ticker.py
+++ b/src/lifttrestle/internal/clock/ticker.py
@@ -10,26 +10,26 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Lets the periodic work of a process wake it together.
+"""Aligns the timers of periodic tasks so that they share wakeups.
 
-Each time that a process wakes costs more than the little that it then does.
-Four loops of a router, with periods of 0.1, 0.1, 0.2 and 0.5 s, woke it 27
-times a second with timers of their own, and wake it 10 times with this.
+The cost of a wakeup exceeds that of the short work done in it. Four loops of
+a router with periods of 0.1, 0.1, 0.2 and 0.5 s cause 27 wakeups a second
+with independent timers, and 10 with aligned ones.
 """
 
 import math
 
 from lifttrestle.internal.clock.clock import Clock
 
-# A beat that is nearer than this part of the period has been waited for.
-NEAR_SHARE = 0.01
+# A tick closer than this fraction of the period counts as already reached.
+EARLY_TOLERANCE = 0.01
 
 
 class Ticker:
-    """Ends waits at multiples of their periods, from a common start.
+    """Ends waits at multiples of their periods, counted from a common origin.
 
-    :param phase: seconds; processes that start together should differ in it,
-        so that they don't work all at the same moment.
+    :param phase: offset of the origin in seconds; it should differ between
+        processes, so that they do not all wake at the same moment.
     """
 
     def __init__(self, clock: Clock, phase: float = 0.0) -> None:
@@ -39,12 +39,12 @@
     async def wait(self, period: float) -> float:
         """Wait for the next multiple of a period.
 
-        :param period: seconds; of two periods, one should be a multiple of
-            the other.
-        :returns: by how many seconds the wait ended late.
+        :param period: seconds; wakeups are shared best if, of any two
+            periods, one is a multiple of the other.
+        :returns: the delay in seconds with which the wait ended.
         """
         now = self._clock.monotonic()
-        beats = math.floor((now - self._phase) / period + NEAR_SHARE)
-        due = self._phase + (beats + 1) * period
+        ticks = math.floor((now - self._phase) / period + EARLY_TOLERANCE)
+        due = self._phase + (ticks + 1) * period
         await self._clock.sleep(due - now)
         return self._clock.monotonic() - due
--- a/tests/cover/test_suspension.py
+++ b/tests/cover/test_suspension.py
@@ -10,12 +10,12 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Tests of what a suspension of the machine does to a router's sense of time.
+"""Ages and timeouts of a router after a suspension of the machine.
 
-The steady clock of the system stands still while the machine is suspended. A
-router that went by it took for fresh, after its wake, what was old by the
-whole suspension: keys that had been taken away, its lease on the loads of
-weights, the loads of others, the time that its callers had left.
+CLOCK_MONOTONIC does not advance while the machine is suspended. A router that
+measured ages by it treated stale data as current after a resume: revoked keys,
+its lease on loading weights, the loads that other routers had reported, and
+the remaining time of its callers.
 """
 
 import asyncio
@@ -43,7 +43,7 @@
 from tests.support.fleet_upstream import FleetUpstreamStandin
 from tests.support.memory_rows import MemoryRows
 from tests.support.shifted_clock import ShiftedClock
-from tests.support.suspension import run_machine
+from tests.support.suspension import simulate_machine
 
 SUSPENSIONS = (1.0, 5.0, 30.0)
 
@@ -51,15 +51,15 @@
 class TestClock(unittest.TestCase):
     def test_regression_time_goes_on_while_the_machine_is_suspended(self):
         for seconds in SUSPENSIONS:
-            with self.subTest(seconds=seconds), run_machine() as machine:
+            with self.subTest(seconds=seconds), simulate_machine() as machine:
                 clock = SystemClock()
                 before = clock.monotonic()
                 machine.suspend(seconds)
                 self.assertGreaterEqual(clock.monotonic(), before + seconds)
 
     def test_time_of_day_after_a_suspension_is_no_step(self):
-        # An embargo stayed closed for as long as the suspension had been.
-        with run_machine() as machine:
+        # Otherwise an embargo ends late by the length of the suspension.
+        with simulate_machine() as machine:
             clock = SystemClock()
             wall = clock.now()
             guarded = GuardedClock(clock, bound_seconds=0.5)
@@ -71,7 +71,7 @@
                 self.assertEqual(guarded.now(), later)
 
     def test_step_of_the_time_of_day_still_is_one(self):
-        with run_machine():
+        with simulate_machine():
             clock = SystemClock()
             wall = clock.now()
             guarded = GuardedClock(clock, bound_seconds=0.5)
@@ -84,22 +84,22 @@
 
 class TestLoop(unittest.TestCase):
     def run_suspended(self, work):
-        """Run ``work`` with a machine, in the loop of the programs."""
-        with run_machine() as machine:
+        """Run ``work`` with a machine, in the event loop of the programs."""
+        with simulate_machine() as machine:
             return run_main(work(machine))
 
     def test_timeout_that_ran_out_in_a_suspension_ends_with_it(self):
         async def work(machine):
-            machine_at = time.monotonic()
+            started_at = time.monotonic()
             with self.assertRaises(TimeoutError):
                 async with asyncio.timeout(30.0):
                     machine.suspend(30.0)
                     while True:
-                        # The other timers of a router.
+                        # Stands for the other timers of a router.
                         await asyncio.sleep(0.01)
-            return time.monotonic() - machine_at
+            return time.monotonic() - started_at
 
-        # Seconds of the steady clock: it waited for nothing.
+        # Seconds of CLOCK_MONOTONIC: the timeout was not waited for again.
         self.assertLess(self.run_suspended(work), 15.0)
 
     def test_pause_that_ran_out_in_a_suspension_ends_with_it(self):
@@ -121,10 +121,10 @@
 
         self.assertAlmostEqual(self.run_suspended(work), 0.0, delta=1.0)
 
-    def test_beat_tells_by_how_much_it_was_late(self):
+    def test_ticker_returns_by_how_much_it_was_late(self):
         async def work(machine):
-            beat = Ticker(SystemClock())
-            waiting = asyncio.create_task(beat.wait(0.1))
+            ticker = Ticker(SystemClock())
+            waiting = asyncio.create_task(ticker.wait(0.1))
             await asyncio.sleep(0)
             machine.suspend(5.0)
             return await waiting
@@ -133,10 +133,10 @@
 
 
 class TestRouter(unittest.TestCase):
-    """Rules that hang on age, after a suspension of the whole machine."""
+    """Rules that depend on an age, after a suspension of the machine."""
 
     def run_router(self, work):
-        async def play(machine):
+        async def run_case(machine):
             store = FleetStoreStandin()
             address = await store.start()
             store.put('op', 'config', CONFIGURATION)
@@ -150,20 +150,20 @@
                 await router.stop()
                 await store.server.stop()
 
-        with run_machine() as machine:
-            return run_main(play(machine))
+        with simulate_machine() as machine:
+            return run_main(run_case(machine))
 
     def test_key_is_not_served_by_a_view_from_before_the_suspension(self):
         async def work(machine, fleet):
             before = await fleet.call('/safe/a')
-            # The store is silent, and what it said last is 30 s old.
+            # The store sends nothing; its last message is 30 s old.
             fleet.store.silenced = fleet.store.peers
             machine.suspend(30.0)
             after = await fleet.call('/safe/a')
             return before, after, fleet.router.is_ready()
 
         before, after, ready = self.run_router(work)
-        # No upstream is listed, so that 503 is the answer of both.
+        # No upstream is listed, so both answers are a 503.
         self.assertIn(b'no_upstream', before.body)
         self.assertIn(b'not_configured', after.body)
         self.assertFalse(ready)
@@ -204,20 +204,20 @@
         self.assertEqual(self.run_router(work), 504)
 
 
-class MachineTime(SystemClock):
-    """The system's clock, under the names of a manual one."""
+class RealTimeClock(SystemClock):
+    """The system's clock with the interface of a manual one."""
 
     def advance(self, seconds):
-        """Let no time pass: what sleeps is not the subject."""
+        """Do nothing: the test does not depend on sleeps."""
 
 
 class TestLease(unittest.TestCase):
     def order(self, seconds):
-        """Name weights, and suspend the machine after the plan's row."""
-        with run_machine() as machine:
-            engines = Engines(MachineTime())
+        """Order weights; suspend the machine after the plan is written."""
+        with simulate_machine() as machine:
+            engines = Engines(RealTimeClock())
             rows = MemoryRows()
-            router = Router('a', MachineTime(), rows, engines, WeightsLoader)
+            router = Router('a', RealTimeClock(), rows, engines, WeightsLoader)
             write_row = rows.write_row
 
             async def write_and_suspend(write):
--- a/tests/cover/test_ticker.py
+++ b/tests/cover/test_ticker.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Periodic work wakes a process together."""
+"""Periodic tasks share wakeups: their waits end at common multiples."""
 
 import asyncio
 import datetime
@@ -26,7 +26,7 @@
 
 
 class NotingClock(ManualClock):
-    """Passes over each sleep at once, and notes how long it was."""
+    """Completes each sleep at once and records its length."""
 
     def __init__(self, late=0.0):
         super().__init__(START)
@@ -40,10 +40,10 @@
 
 class TestTicker(unittest.TestCase):
     def wait(self, clock, *periods, phase=0.0):
-        beat = Ticker(clock, phase)
+        ticker = Ticker(clock, phase)
 
         async def run():
-            return [await beat.wait(period) for period in periods]
+            return [await ticker.wait(period) for period in periods]
 
         return asyncio.run(run())
 
@@ -62,9 +62,9 @@
 
     def test_loops_that_began_at_different_times_wake_together(self):
         ends = set()
-        for began in (0.013, 0.05, 0.09):
+        for started_at in (0.013, 0.05, 0.09):
             clock = NotingClock()
-            clock.advance(began)
+            clock.advance(started_at)
             self.wait(clock, 0.1)
             ends.add(round(clock.monotonic(), 9))
         self.assertEqual(ends, {0.1})
--- a/tests/support/shifted_clock.py
+++ b/tests/support/shifted_clock.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""The system's clock, from which a test may skip time."""
+"""A system clock that a test can shift forward or freeze."""
 
 import datetime
 
@@ -18,32 +18,32 @@
 
 
 class ShiftedClock(SystemClock):
-    """Goes as the system's clock does, ahead by what was skipped."""
+    """Runs ahead of the system's clock by the time that was skipped."""
 
     def __init__(self) -> None:
         self._skipped = 0.0
-        self._held: float | None = None
+        self._frozen_at: float | None = None
 
     def skip(self, seconds: float) -> None:
-        """Let ``seconds`` have passed."""
+        """Shift the clock forward by ``seconds``."""
         self._skipped += seconds
 
     def freeze(self) -> None:
-        """Let no time pass, however slow the machine is, until ``resume``."""
-        self._held = self.monotonic()
+        """Stop monotonic time until ``resume``, on however slow a machine."""
+        self._frozen_at = self.monotonic()
 
     def resume(self) -> None:
-        """Let time pass again, from where it was held."""
-        if self._held is not None:
-            self._skipped = self._held - super().monotonic()
-            self._held = None
+        """Let time advance again from the frozen value."""
+        if self._frozen_at is not None:
+            self._skipped = self._frozen_at - super().monotonic()
+            self._frozen_at = None
 
     def now(self) -> datetime.datetime:
-        """Return the wall time, ahead by what was skipped."""
+        """Return the wall time plus the skipped time."""
         return super().now() + datetime.timedelta(seconds=self._skipped)
 
     def monotonic(self) -> float:
-        """Return the monotonic time, ahead by what was skipped."""
-        if self._held is not None:
-            return self._held
+        """Return the monotonic time plus the skipped time, or the frozen."""
+        if self._frozen_at is not None:
+            return self._frozen_at
         return super().monotonic() + self._skipped
--- a/tests/support/suspension.py
+++ b/tests/support/suspension.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""A machine that is suspended: one of its clocks goes on, the other stands."""
+"""Simulates suspensions: CLOCK_BOOTTIME advances, CLOCK_MONOTONIC does not."""
 
 from collections.abc import Iterator
 import contextlib
@@ -19,28 +19,28 @@
 
 
 class Machine:
-    """Its time of day and its elapsed time skip what its steady time does not.
+    """A machine whose CLOCK_BOOTTIME includes simulated suspensions.
 
-    :ivar suspended: seconds, so far.
+    :ivar suspended: total of the suspensions so far, in seconds.
     """
 
     def __init__(self) -> None:
         self.suspended = 0.0
-        self._read = time.clock_gettime
+        self._clock_gettime = time.clock_gettime
 
     def suspend(self, seconds: float) -> None:
-        """Have it been suspended, and woken again, this moment."""
+        """Simulate a suspension of ``seconds`` that ends now."""
         self.suspended += seconds
 
-    def read(self, clock: int) -> float:
-        """Return one of its clocks."""
+    def read_clock(self, clock: int) -> float:
+        """Return the time of a clock, in place of ``clock_gettime``."""
         skipped = self.suspended if clock == time.CLOCK_BOOTTIME else 0.0
-        return self._read(clock) + skipped
+        return self._clock_gettime(clock) + skipped
 
 
 @contextlib.contextmanager
-def run_machine() -> Iterator[Machine]:
-    """Have this process run on a machine that can be suspended."""
+def simulate_machine() -> Iterator[Machine]:
+    """Replace this process's clocks by those of a machine to suspend."""
     machine = Machine()
-    with mock.patch.object(time, 'clock_gettime', machine.read):
+    with mock.patch.object(time, 'clock_gettime', machine.read_clock):
         yield machine
