--- a/src/lifttrestle/internal/upstream/breaker.py
+++ b/src/lifttrestle/internal/upstream/breaker.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Takes an upstream that keeps failing out of use, and tries it again."""
+"""A circuit breaker for upstreams that fail repeatedly."""
 
 import enum
 
@@ -20,7 +20,7 @@
 
 
 class BreakerState(enum.Enum):
-    """Whether an upstream is in use."""
+    """Whether requests may be sent to an upstream."""
 
     CLOSED = 'closed'
     OPEN = 'open'
@@ -28,7 +28,7 @@
 
 
 class BreakerEvent(enum.Enum):
-    """What can happen to an upstream."""
+    """Events that change the state of a breaker."""
 
     SUCCESS = 'success'
     FAILURE = 'failure'
@@ -46,10 +46,11 @@
 
 
 class Breaker:
-    """A circuit breaker; the caller passes the time in.
+    """A circuit breaker; callers pass the monotonic time in seconds.
 
-    Half open, it lets one request through and waits for its outcome. Each
-    failed trial doubles the time until the next one, up to a bound.
+    When half open, it permits one trial request and waits for its outcome.
+    Each failed trial doubles the time until the next one, up to
+    ``MAX_OPEN_SECONDS``.
     """
 
     def __init__(self) -> None:
@@ -62,25 +63,25 @@
     def allows(self, now: float) -> bool:
         """Return whether a request may be sent now."""
         if self.state is BreakerState.OPEN and now >= self._open_until:
-            self._move(BreakerEvent.COOLED)
+            self._apply(BreakerEvent.COOLED)
             self._trial_until = 0.0
         if self.state is BreakerState.HALF_OPEN:
             return now >= self._trial_until
         return self.state is BreakerState.CLOSED
 
     def note_sent(self, now: float) -> None:
-        """Note that a request was sent; half open, it is the trial."""
+        """Record that a request was sent; when half open, it is the trial."""
         if self.state is BreakerState.HALF_OPEN:
             self._trial_until = now + self._open_seconds
 
     def note_success(self) -> None:
-        """Note a good answer."""
+        """Record a successful answer."""
         self._failures = 0
         self._open_seconds = FIRST_OPEN_SECONDS
-        self._move(BreakerEvent.SUCCESS)
+        self._apply(BreakerEvent.SUCCESS)
 
     def note_failure(self, now: float) -> None:
-        """Note a failed connection, a broken answer or a timeout."""
+        """Record a failed connection, a broken answer or a timeout."""
         self._failures += 1
         event = BreakerEvent.FAILURE
         if self._failures >= FAILURE_THRESHOLD:
@@ -89,9 +90,9 @@
             event = BreakerEvent.FAILURE
             self._open_seconds = min(self._open_seconds * 2, MAX_OPEN_SECONDS)
         before = self.state
-        self._move(event)
+        self._apply(event)
         if self.state is BreakerState.OPEN and before is not self.state:
             self._open_until = now + self._open_seconds
 
-    def _move(self, event: BreakerEvent) -> None:
+    def _apply(self, event: BreakerEvent) -> None:
         self.state = TRANSITIONS.get((self.state, event), self.state)
--- a/src/lifttrestle/internal/upstream/driver.py
+++ b/src/lifttrestle/internal/upstream/driver.py
@@ -10,10 +10,11 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""How the router talks to a kind of engine.
+"""The interface between the router and one kind of engine.
 
-The chat and completion API is common to all. What has no published form, such
-as incarnation, resume, drain and orders, differs and sits behind this class.
+All engines share the chat and completion API. Features without a published
+standard, such as incarnations, resumption of streams, draining and load
+orders, differ between engines and are implemented by subclasses.
 """
 
 import abc
@@ -30,22 +31,22 @@
 
     @abc.abstractmethod
     def build_probe(self) -> RequestHead:
-        """Return the request that asks for the engine's state."""
+        """Return the request that queries the engine's state."""
 
     @abc.abstractmethod
     def decode_report(self, body: bytes) -> EngineReport:
-        """Return the state in an answer to the probe.
+        """Return the state in the body of an answer to a probe.
 
-        :raises ValueError: if the answer is not a state.
+        :raises ValueError: if the body is not a valid state.
         """
 
     @abc.abstractmethod
     def decode_identity(self, head: ResponseHead) -> EngineIdentity:
-        """Return which engine answered; empty where the head is silent."""
+        """Return which engine answered; missing headers give empty fields."""
 
     @abc.abstractmethod
     def is_draining(self, head: ResponseHead) -> bool:
-        """Return whether an answer refuses because the engine drains."""
+        """Return whether an answer is a refusal because the engine drains."""
 
     @abc.abstractmethod
     def build_resume(
@@ -55,8 +56,8 @@
 
     @abc.abstractmethod
     def build_cancel(self, identity: EngineIdentity) -> RequestHead:
-        """Return the request that ends a generation no one reads."""
+        """Return the request that cancels a generation without a reader."""
 
     @abc.abstractmethod
     def build_order(self, order: EngineOrder) -> tuple[RequestHead, bytes]:
-        """Return the request that carries an order to the engine."""
+        """Return head and body of the request that sends a load order."""
--- a/src/lifttrestle/internal/upstream/exclusion.py
+++ b/src/lifttrestle/internal/upstream/exclusion.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Why an upstream may not serve a request."""
+"""Rules that exclude upstreams from serving a request."""
 
 from collections.abc import Callable
 import dataclasses
@@ -22,13 +22,13 @@
 
 
 class Exclusion(enum.Enum):
-    """The closed list of reasons; the value stands in the decision log."""
+    """Why an upstream may not serve; values appear in the decision log."""
 
     NONE = 'none'
-    OUTSIDE_PLACE = 'outside the place'
+    OUTSIDE_DATA_CENTRES = 'outside the place'
     ALREADY_TRIED = 'already tried'
     LEAVING = 'leaving'
-    UNPROVED = 'unproved'
+    NO_REPORT = 'unproved'
     OTHER_WEIGHTS = 'other weights'
     CANNOT_CONTINUE = 'cannot continue a text'
     EJECTED = 'ejected'
@@ -36,11 +36,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class Target:
-    """What a request needs of an upstream.
+    """What a request requires of an upstream.
 
+    :ivar data_centres: those whose upstreams may serve the request.
     :ivar model: the model's name, or empty for a plain service.
-    :ivar version: the version of its weights that must answer.
-    :ivar continues_text: whether it must go on from a partial answer.
+    :ivar version: the required version of the model's weights.
+    :ivar continues_text: whether the upstream must continue a partial
+        answer.
     """
 
     kind: UpstreamKind
@@ -52,39 +54,38 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Attempted:
-    """What else a rule looks at.
+class AttemptContext:
+    """The other inputs of the rules.
 
-    :ivar tried: names of upstreams that have failed the request.
-    :ivar now: the monotonic time.
+    :ivar tried: names of the upstreams that have failed this request.
+    :ivar now: monotonic time in seconds.
     """
 
     tried: set[str]
     now: float
 
 
-Rule = Callable[[UpstreamState, Target, Attempted], bool]
+Rule = Callable[[UpstreamState, Target, AttemptContext], bool]
 
-# In the order in which they are told; the group is the registry's index.
+# The first match is reported. There is no rule on the group, because the
+# registry looks upstreams up by group.
 RULES: tuple[tuple[Exclusion, Rule], ...] = (
     (
-        Exclusion.OUTSIDE_PLACE,
+        Exclusion.OUTSIDE_DATA_CENTRES,
         lambda upstream, target, _: (
             upstream.settings.data_centre not in target.data_centres
         ),
     ),
     (
         Exclusion.ALREADY_TRIED,
-        lambda upstream, _, attempted: (
-            upstream.settings.name in attempted.tried
-        ),
+        lambda upstream, _, context: upstream.settings.name in context.tried,
     ),
     (
         Exclusion.LEAVING,
         lambda upstream, _target, _: upstream.leaving or upstream.draining,
     ),
     (
-        Exclusion.UNPROVED,
+        Exclusion.NO_REPORT,
         lambda upstream, _target, _: (
             upstream.report is NO_REPORT
             and upstream.settings.can.reports_state
@@ -105,18 +106,16 @@
     ),
     (
         Exclusion.EJECTED,
-        lambda upstream, _, attempted: (
-            not upstream.breaker.allows(attempted.now)
-        ),
+        lambda upstream, _, context: not upstream.breaker.allows(context.now),
     ),
 )
 
 
 def find_exclusion(
-    upstream: UpstreamState, target: Target, attempted: Attempted
+    upstream: UpstreamState, target: Target, context: AttemptContext
 ) -> Exclusion:
-    """Return the first reason against ``upstream``, or ``NONE``."""
+    """Return the first reason that excludes ``upstream``, or ``NONE``."""
     for reason, rule in RULES:
-        if rule(upstream, target, attempted):
+        if rule(upstream, target, context):
             return reason
     return Exclusion.NONE
--- a/src/lifttrestle/internal/upstream/identity.py
+++ b/src/lifttrestle/internal/upstream/identity.py
@@ -10,16 +10,16 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Which engine, at which weights, an answer came from."""
+"""The engine and the version of its weights that produced an answer."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True)
 class EngineIdentity:
-    """The incarnation and version that stand in an answer's head.
+    """The incarnation and version given in the headers of an answer.
 
-    :ivar stream_id: under which the stream can be resumed, or empty.
+    :ivar stream_id: identifier for resuming the stream, or empty.
     """
 
     incarnation: str
--- a/src/lifttrestle/internal/upstream/order.py
+++ b/src/lifttrestle/internal/upstream/order.py
@@ -16,9 +16,9 @@
 
 
 class EngineOrder(msgspec.Struct, frozen=True):
-    """Which weights to load, under which fencing number.
+    """Which weights to load, with a fencing number.
 
-    :ivar fencing: never lower than that of an earlier holder's order.
+    :ivar fencing: never lower than in the orders of earlier lease holders.
     """
 
     model: str
--- a/src/lifttrestle/internal/upstream/prober.py
+++ b/src/lifttrestle/internal/upstream/prober.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Asks an upstream for its state, again and again."""
+"""Polls an upstream for its state."""
 
 import asyncio
 import logging
@@ -26,12 +26,12 @@
 
 LOG = logging.getLogger('lifttrestle.upstream')
 OK = 200
-# After so many silent probes the last report proves nothing any more.
-MISSED_PROBES = 3
+# After so many consecutive failed probes the last report is discarded.
+MAX_MISSED_PROBES = 3
 
 
 class Prober:
-    """Owns the probing of one upstream and writes its state."""
+    """Probes one upstream periodically and updates its state."""
 
     def __init__(
         self,
@@ -56,7 +56,7 @@
             await asyncio.sleep(self._period)
 
     async def probe(self) -> None:
-        """Ask once and write down the answer or its absence."""
+        """Send one probe and record the report or the failure."""
         head = self._driver.build_probe()
         try:
             answer = await self._client.call(
@@ -66,7 +66,7 @@
                 raise ValueError(f'status {answer.status}')
             report = self._driver.decode_report(answer.body)
         except (PlatformUnavailable, ValueError) as error:
-            self._note_silence(error)
+            self._note_failure(error)
             return
         self._note_report(report)
 
@@ -80,15 +80,19 @@
                 report.incarnation,
                 report.versions,
             )
-            # A new incarnation is a new process: old failures say nothing.
+            # A new incarnation is a new process without these failures.
             upstream.breaker.note_success()
         upstream.report = report
         upstream.reported_at = self._clock.monotonic()
         upstream.draining = report.draining
 
-    def _note_silence(self, error: Exception) -> None:
+    def _note_failure(self, error: Exception) -> None:
         self._missed += 1
-        if self._missed != MISSED_PROBES:
+        if self._missed != MAX_MISSED_PROBES:
             return
         self._upstream.report = NO_REPORT
-        LOG.warning('upstream: %s is silent: %s', self._upstream.name, error)
+        LOG.warning(
+            'upstream: %s does not answer probes: %s',
+            self._upstream.name,
+            error,
+        )
--- a/src/lifttrestle/internal/upstream/registry.py
+++ b/src/lifttrestle/internal/upstream/registry.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""All upstreams that a router knows, by name."""
+"""The configured upstreams of a router, by name and group."""
 
 from collections.abc import Iterator
 
@@ -22,7 +22,7 @@
 from lifttrestle.internal.settings.upstream import UpstreamKind
 from lifttrestle.internal.store.vm import Vm
 from lifttrestle.internal.store.vm import VmState
-from lifttrestle.internal.upstream.exclusion import Attempted
+from lifttrestle.internal.upstream.exclusion import AttemptContext
 from lifttrestle.internal.upstream.exclusion import Exclusion
 from lifttrestle.internal.upstream.exclusion import find_exclusion
 from lifttrestle.internal.upstream.exclusion import Target
@@ -30,7 +30,7 @@
 
 
 class UpstreamRegistry:
-    """Holds the upstreams' states and finds those fit for a request."""
+    """Holds the state of each upstream and selects those for a request."""
 
     def __init__(self, settings: RouterSettings, clock: Clock) -> None:
         self._clock = clock
@@ -51,26 +51,26 @@
         return iter(self._states.values())
 
     def get(self, name: str) -> UpstreamState:
-        """Return the upstream of that name."""
+        """Return the upstream with that name."""
         return self._states[name]
 
     def list_available(
         self, target: Target, tried: set[str]
     ) -> list[UpstreamState]:
         """Return the upstreams that may serve ``target`` now."""
-        attempted = Attempted(tried, self._clock.monotonic())
+        context = AttemptContext(tried, self._clock.monotonic())
         return [
             upstream
             for upstream in self._list_group(target)
-            if find_exclusion(upstream, target, attempted) is Exclusion.NONE
+            if find_exclusion(upstream, target, context) is Exclusion.NONE
         ]
 
     def explain(self, target: Target, tried: set[str]) -> str:
-        """Return, for the log, why no upstream may serve ``target``."""
-        attempted = Attempted(tried, self._clock.monotonic())
+        """Return why no upstream may serve ``target``, for the log."""
+        context = AttemptContext(tried, self._clock.monotonic())
         reasons = [
             f'{upstream.name}'
-            f' {find_exclusion(upstream, target, attempted).value}'
+            f' {find_exclusion(upstream, target, context).value}'
             for upstream in self._list_group(target)
         ]
         return ', '.join(reasons) or 'no upstream of this group'
@@ -89,6 +89,6 @@
             upstream.leaving = vm is None or vm.state is VmState.LEAVING
 
     def close(self) -> None:
-        """Close every kept connection."""
+        """Close all pooled connections."""
         for upstream in self._states.values():
             upstream.pool.close()
--- a/src/lifttrestle/internal/upstream/report.py
+++ b/src/lifttrestle/internal/upstream/report.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""What an upstream says about itself."""
+"""The state that an upstream reports."""
 
 import enum
 
@@ -18,13 +18,13 @@
 
 
 class EngineReport(msgspec.Struct, frozen=True):
-    """An upstream's own state at one moment.
+    """The state of an upstream at the time of its answer to a probe.
 
-    :ivar incarnation: changes whenever the process starts anew, and with
-        it every cached block is gone.
-    :ivar versions: the version of the weights for each loaded model.
-    :ivar running: requests being worked on.
-    :ivar waiting: requests queued behind them.
+    :ivar incarnation: changes whenever the process restarts, which also
+        empties its block cache.
+    :ivar versions: the version of the weights, by loaded model.
+    :ivar running: number of requests being executed.
+    :ivar waiting: number of requests in the queue.
     """
 
     incarnation: str
@@ -35,7 +35,7 @@
 
 
 class NoReport(enum.Enum):
-    """The sentinel for an upstream that has said nothing yet."""
+    """The sentinel for an upstream without a current report."""
 
     NO_REPORT = 'unproved'
 
--- a/src/lifttrestle/internal/upstream/standard_driver.py
+++ b/src/lifttrestle/internal/upstream/standard_driver.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""The driver for engines with the calls documented in docs/design."""
+"""The driver for engines with the API documented in docs/design."""
 
 import msgspec
 
@@ -27,18 +27,18 @@
 
 
 class StandardDriver(EngineDriver):
-    """Uses headers for identity and paths below ``/lifttrestle/``."""
+    """Uses headers for the identity and paths below ``/lifttrestle/``."""
 
     def build_probe(self) -> RequestHead:
-        """Return the request that asks for the engine's state."""
+        """Return the request that queries the engine's state."""
         return RequestHead('GET', STATE_PATH)
 
     def decode_report(self, body: bytes) -> EngineReport:
-        """Return the state in an answer to the probe."""
+        """Return the state in the body of an answer to a probe."""
         return msgspec.json.decode(body, type=EngineReport)
 
     def decode_identity(self, head: ResponseHead) -> EngineIdentity:
-        """Return which engine answered; empty where the head is silent."""
+        """Return which engine answered; missing headers give empty fields."""
         return EngineIdentity(
             head.get_header('x-engine-incarnation'),
             head.get_header('x-engine-version'),
@@ -46,7 +46,7 @@
         )
 
     def is_draining(self, head: ResponseHead) -> bool:
-        """Return whether an answer refuses because the engine drains."""
+        """Return whether an answer is a refusal because the engine drains."""
         return head.get_header('x-engine-draining') == '1'
 
     def build_resume(
@@ -60,11 +60,11 @@
         return RequestHead('GET', STREAMS_PATH + identity.stream_id, headers)
 
     def build_cancel(self, identity: EngineIdentity) -> RequestHead:
-        """Return the request that ends a generation no one reads."""
+        """Return the request that cancels a generation without a reader."""
         return RequestHead('DELETE', STREAMS_PATH + identity.stream_id)
 
     def build_order(self, order: EngineOrder) -> tuple[RequestHead, bytes]:
-        """Return the request that carries an order to the engine."""
+        """Return head and body of the request that sends a load order."""
         headers = (('content-type', 'application/json'),)
         head = RequestHead('POST', ORDERS_PATH, headers)
         return head, msgspec.json.encode(order)
--- a/src/lifttrestle/internal/upstream/state.py
+++ b/src/lifttrestle/internal/upstream/state.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""What one router knows about one upstream; kept in memory only."""
+"""A router's state of one upstream; not persisted."""
 
 import dataclasses
 
@@ -24,11 +24,12 @@
 
 @dataclasses.dataclass
 class UpstreamState:
-    """One upstream's settings, own report, load and health.
+    """The settings, last report, load and health of one upstream.
 
-    :ivar in_flight: requests that this router has sent and not ended.
-    :ivar leaving: the VM list says that its VM leaves or is gone.
-    :ivar draining: it said itself that it takes no new work.
+    :ivar reported_at: monotonic time of the last report.
+    :ivar in_flight: requests of this router that have not ended.
+    :ivar leaving: whether, by the VM list, its VM is leaving or gone.
+    :ivar draining: whether it has reported that it takes no new work.
     """
 
     settings: UpstreamSettings
@@ -47,13 +48,13 @@
 
     @property
     def incarnation(self) -> str:
-        """Return the incarnation that it last reported, or nothing."""
+        """Return the last reported incarnation, or an empty string."""
         if isinstance(self.report, EngineReport):
             return self.report.incarnation
         return ''
 
     def get_version(self, model: str) -> str:
-        """Return the version of the weights it reported for a model."""
+        """Return the reported version of a model's weights, or empty."""
         if isinstance(self.report, EngineReport):
             return self.report.versions.get(model, '')
         return ''
