--- a/src/lifttrestle/internal/orders/decision.py
+++ b/src/lifttrestle/internal/orders/decision.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Which engines have to load other weights."""
+"""Determines which engines have to load other weights."""
 
 from collections.abc import Iterable
 
@@ -20,26 +20,33 @@
 from lifttrestle.internal.upstream.report import EngineReport
 from lifttrestle.internal.upstream.state import UpstreamState
 
-# An order's number grows with the lease and, under one lease, with the
-# revision, so that a late order never undoes a newer one.
-REVISIONS = 10**9
+# The number of an order grows with the fencing number of the lease and, within
+# one lease, with the revision, so that a delayed order never undoes a newer
+# one.
+FENCING_FACTOR = 10**9
 
 
-def number_order(fencing: int, revision: int) -> int:
-    """Return the fencing number of an order."""
-    return fencing * REVISIONS + revision
+def compute_order_number(fencing: int, revision: int) -> int:
+    """Return the fencing number of an order.
+
+    :param fencing: fencing number of the lease.
+    :param revision: revision of the configuration, below
+        ``FENCING_FACTOR``.
+    """
+    return fencing * FENCING_FACTOR + revision
 
 
 def find_orders(
     view: View, upstreams: Iterable[UpstreamState], data_centre: str
 ) -> list[tuple[UpstreamState, Model]]:
-    """Return the engines to be ordered, each with the model to load.
+    """Return the engines that need an order, each with the model to load.
 
-    Only engines of this data centre that check the fencing number: an order
-    to load weights switches them, so to an engine that does not check, a late
-    one would bring older weights back. Their operators load those.
+    Only engines of this data centre that check the fencing number get orders.
+    An order to load weights also activates them, so on an engine that does
+    not check, a delayed order would restore older weights. The operators of
+    such engines load the weights themselves.
     """
-    found = []
+    due = []
     for upstream in upstreams:
         settings = upstream.settings
         if settings.data_centre != data_centre:
@@ -54,5 +61,5 @@
             if view.is_held(ItemKind.MODEL, model.name):
                 continue
             if upstream.report.versions.get(model.name) != model.version:
-                found.append((upstream, model))
-    return found
+                due.append((upstream, model))
+    return due
--- a/src/lifttrestle/internal/orders/lease.py
+++ b/src/lifttrestle/internal/orders/lease.py
@@ -10,10 +10,11 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""A lease in the table service, with a fencing number that only grows.
+"""A lease in the table service, with an increasing fencing number.
 
-The holder may be paused and wake after the lease has lapsed. Whoever takes it
-over has a higher fencing number, and what checks it refuses the old one.
+A holder may be paused and continue after its lease has expired. The next
+holder gets a higher fencing number, so that receivers which check the number
+reject late orders of the earlier holder.
 """
 
 import datetime
@@ -30,11 +31,11 @@
 from lifttrestle.internal.store.table import TableService
 
 NOT_HELD = 0
-RENEW_SHARE = 0.5
+RENEW_FRACTION = 0.5
 
 
 class LeaseRow(msgspec.Struct, frozen=True):
-    """Who holds the lease, under which number, and until when."""
+    """The stored lease: its holder, fencing number and expiry."""
 
     holder: str
     fencing: int
@@ -42,13 +43,13 @@
 
 
 class Lease:
-    """One router's hold on one lease.
+    """A lease as one router acquires and renews it.
 
-    :param name: the lease's name in the table.
-    :param holder: unique to this process.
-    :param seconds: how long it holds without being renewed.
-    :param clock_error_seconds: how far routers' clocks may differ; a lease
-        is taken over only when every clock says that it has lapsed.
+    :param name: name of the lease in the table.
+    :param holder: identifier that is unique to this process.
+    :param seconds: how long the lease is valid without a renewal.
+    :param clock_error_seconds: how far the clocks of routers may differ; a
+        lease is taken over only once it has expired by every clock.
     """
 
     def __init__(
@@ -69,50 +70,52 @@
         self._fencing = NOT_HELD
         self._renew_at = float('-inf')
 
-    async def hold(self) -> int:
-        """Return the fencing number, or ``NOT_HELD``.
+    async def acquire(self) -> int:
+        """Acquire or renew the lease if due.
 
-        The number says only that the lease was held a moment ago: what acts
-        on it has to check the number.
+        The lease may expire at any time after the return, so receivers of
+        orders have to check the number.
+
+        :returns: the fencing number, or ``NOT_HELD``.
         """
         if self._clock.monotonic() < self._renew_at:
             return self._fencing
         self._fencing = NOT_HELD
         try:
-            self._fencing = await self._take()
+            self._fencing = await self._acquire()
         except (ConditionFailed, PlatformUnavailable):
-            # Another was faster, or it can't be known. The next call reads
-            # the row again, and finds it ours if the write took effect.
+            # Another router was faster, or the outcome is unknown. The next
+            # call reads the row again and sees whether the write took effect.
             return NOT_HELD
         return self._fencing
 
-    async def _take(self) -> int:
-        asked_at = self._clock.monotonic()
+    async def _acquire(self) -> int:
+        requested_at = self._clock.monotonic()
         rows = await self._table.read((self._key,))
         row = rows.get(self._key)
         now = self._clock.now()
-        known = None
+        current = None
         if row is not None:
-            known = msgspec.json.decode(row.value, type=LeaseRow)
-            lapsed = known.expires_at + self._error <= now
-            if known.holder != self._holder and not lapsed:
+            current = msgspec.json.decode(row.value, type=LeaseRow)
+            expired = current.expires_at + self._error <= now
+            if current.holder != self._holder and not expired:
                 return NOT_HELD
-        fencing = self._choose_number(known, now)
+        fencing = self._choose_fencing(current, now)
         expires_at = now + datetime.timedelta(seconds=self._seconds)
-        taken = LeaseRow(self._holder, fencing, expires_at)
+        updated = LeaseRow(self._holder, fencing, expires_at)
         version = row.version if row is not None else ABSENT
         await self._table.transact(
             Transaction(
-                (Check(self._key, version),), (make_write(self._key, taken),)
+                (Check(self._key, version),), (make_write(self._key, updated),)
             )
         )
-        self._renew_at = asked_at + self._seconds * RENEW_SHARE
+        self._renew_at = requested_at + self._seconds * RENEW_FRACTION
         return fencing
 
-    def _choose_number(
-        self, known: LeaseRow | None, now: datetime.datetime
+    def _choose_fencing(
+        self, current: LeaseRow | None, now: datetime.datetime
     ) -> int:
-        if known is None:
+        if current is None:
             return 1
-        renewed = known.holder == self._holder and known.expires_at > now
-        return known.fencing if renewed else known.fencing + 1
+        renewed = current.holder == self._holder and current.expires_at > now
+        return current.fencing if renewed else current.fencing + 1
--- a/src/lifttrestle/internal/orders/loader.py
+++ b/src/lifttrestle/internal/orders/loader.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Orders engines to load the weights that the configuration names."""
+"""Orders engines to load the weights given in the configuration."""
 
 import logging
 
@@ -20,8 +20,8 @@
 from lifttrestle.internal.configuration.model import Model
 from lifttrestle.internal.configuration.store import ConfigurationStore
 from lifttrestle.internal.http.json_client import JsonClient
+from lifttrestle.internal.orders.decision import compute_order_number
 from lifttrestle.internal.orders.decision import find_orders
-from lifttrestle.internal.orders.decision import number_order
 from lifttrestle.internal.orders.lease import Lease
 from lifttrestle.internal.orders.lease import NOT_HELD
 from lifttrestle.internal.upstream.driver import EngineDriver
@@ -31,14 +31,15 @@
 
 LOG = logging.getLogger('lifttrestle.placement')
 PERIOD_SECONDS = 0.5
-ORDER_SECONDS = 30.0
+ORDER_TIMEOUT_SECONDS = 30.0
 
 
 class Loader:
-    """One router of a data centre at a time, by a lease, gives the orders.
+    """Sends load orders to the engines of a data centre.
 
-    An order's answer is not believed: the engine's next report says whether
-    the weights are there, and the order is given again if they are not.
+    A lease selects the one router of the data centre that sends them. The
+    answer to an order is only logged: the engine's next report shows whether
+    the weights are loaded, and if not, the order is sent again.
     """
 
     def __init__(
@@ -60,23 +61,23 @@
         self._data_centre = data_centre
 
     async def run(self) -> None:
-        """Look for engines to order until the task is cancelled."""
+        """Send due orders periodically until the task is cancelled."""
         while True:
-            await self.give_orders()
+            await self.send_orders()
             await self._clock.sleep(PERIOD_SECONDS)
 
-    async def give_orders(self) -> None:
-        """Give the orders that are due, if this router holds the lease."""
+    async def send_orders(self) -> None:
+        """Send the orders that are due, if this router holds the lease."""
         view = self._keeper.view
         orders = find_orders(view, self._registry, self._data_centre)
         if not orders or not self._keeper.registered:
             return
-        fencing = await self._lease.hold()
+        fencing = await self._lease.acquire()
         if fencing == NOT_HELD or not await self._is_current(view.revision):
             return
         for upstream, model in orders:
-            number = number_order(fencing, view.revision)
-            await self._order(upstream, model, number)
+            number = compute_order_number(fencing, view.revision)
+            await self._send_order(upstream, model, number)
 
     async def _is_current(self, revision: int) -> bool:
         try:
@@ -85,12 +86,14 @@
             return False
         return head.value.revision == revision
 
-    async def _order(
+    async def _send_order(
         self, upstream: UpstreamState, model: Model, number: int
     ) -> None:
         order = EngineOrder(model.name, model.version, number)
         head, body = self._driver.build_order(order)
-        client = JsonClient(upstream.pool.address, self._clock, ORDER_SECONDS)
+        client = JsonClient(
+            upstream.pool.address, self._clock, ORDER_TIMEOUT_SECONDS
+        )
         try:
             answer = await client.call(
                 head.method, head.target, body, head.headers
--- a/tests/cover/test_orders.py
+++ b/tests/cover/test_orders.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Leases whose holder is paused, and orders that arrive late."""
+"""Leases with paused holders, and load orders that arrive late."""
 
 import datetime
 import unittest
@@ -20,8 +20,8 @@
 from lifttrestle.internal.configuration.document import Document
 from lifttrestle.internal.configuration.model import Model
 from lifttrestle.internal.configuration.view import build_view
+from lifttrestle.internal.orders.decision import compute_order_number
 from lifttrestle.internal.orders.decision import find_orders
-from lifttrestle.internal.orders.decision import number_order
 from lifttrestle.internal.orders.lease import Lease
 from lifttrestle.internal.orders.lease import NOT_HELD
 from lifttrestle.internal.settings.upstream import UpstreamAbilities
@@ -39,14 +39,14 @@
 
 
 class Engine:
-    """Loads weights on order; it may check the fencing number."""
+    """Loads weights on order; optionally checks the fencing number."""
 
     def __init__(self, checks: bool) -> None:
         self.version = 'v0'
         self._checks = checks
         self._highest = 0
 
-    def take(self, version: str, number: int) -> bool:
+    def load(self, version: str, number: int) -> bool:
         if self._checks and number < self._highest:
             return False
         self._highest = max(self._highest, number)
@@ -55,14 +55,14 @@
 
 
 class LossyTable(MemoryTable):
-    """Loses the answer to its next transaction, after its effect."""
+    """Can lose the answer to its next transaction, after committing it."""
 
-    loses = False
+    loses_answer = False
 
     async def transact(self, transaction: Transaction) -> int:
         commit = await super().transact(transaction)
-        if self.loses:
-            self.loses = False
+        if self.loses_answer:
+            self.loses_answer = False
             raise PlatformUnavailable('lost')
         return commit
 
@@ -80,62 +80,62 @@
         )
 
     async def test_one_holder_at_a_time(self) -> None:
-        self.assertEqual(await self.one.hold(), 1)
-        self.assertEqual(await self.two.hold(), NOT_HELD)
+        self.assertEqual(await self.one.acquire(), 1)
+        self.assertEqual(await self.two.acquire(), NOT_HELD)
         self.clock.advance(LEASE_SECONDS)
-        # Some clock may still say that it holds.
-        self.assertEqual(await self.two.hold(), NOT_HELD)
+        # By a slower clock the lease may not have expired yet.
+        self.assertEqual(await self.two.acquire(), NOT_HELD)
         self.clock.advance(CLOCK_ERROR)
-        self.assertEqual(await self.two.hold(), 2)
+        self.assertEqual(await self.two.acquire(), 2)
 
     async def test_renewing_keeps_the_number(self) -> None:
         for _ in range(5):
-            self.assertEqual(await self.one.hold(), 1)
+            self.assertEqual(await self.one.acquire(), 1)
             self.clock.advance(LEASE_SECONDS * 0.6)
 
     async def test_own_lapsed_lease_gets_a_higher_number(self) -> None:
-        await self.one.hold()
+        await self.one.acquire()
         self.clock.advance(LEASE_SECONDS * 3)
-        self.assertEqual(await self.one.hold(), 2)
+        self.assertEqual(await self.one.acquire(), 2)
 
     async def test_lost_answer_is_read_back(self) -> None:
-        self.table.loses = True
-        self.assertEqual(await self.one.hold(), NOT_HELD)
-        self.assertEqual(await self.one.hold(), 1)
+        self.table.loses_answer = True
+        self.assertEqual(await self.one.acquire(), NOT_HELD)
+        self.assertEqual(await self.one.acquire(), 1)
 
     async def test_paused_holder_cannot_bring_old_weights_back(self) -> None:
         engine = Engine(checks=True)
-        late = number_order(await self.one.hold(), 7)
-        # Paused between taking the lease and sending the order.
+        late = compute_order_number(await self.one.acquire(), 7)
+        # The first holder is paused between acquiring and sending.
         self.clock.advance(LEASE_SECONDS + CLOCK_ERROR)
-        newer = number_order(await self.two.hold(), 8)
-        self.assertTrue(engine.take('v2', newer))
-        self.assertFalse(engine.take('v1', late))
+        newer = compute_order_number(await self.two.acquire(), 8)
+        self.assertTrue(engine.load('v2', newer))
+        self.assertFalse(engine.load('v1', late))
         self.assertEqual(engine.version, 'v2')
 
     async def test_late_order_of_one_holder_undoes_nothing(self) -> None:
         engine = Engine(checks=True)
-        fencing = await self.one.hold()
-        self.assertTrue(engine.take('v2', number_order(fencing, 8)))
-        self.assertFalse(engine.take('v1', number_order(fencing, 7)))
+        fencing = await self.one.acquire()
+        self.assertTrue(engine.load('v2', compute_order_number(fencing, 8)))
+        self.assertFalse(engine.load('v1', compute_order_number(fencing, 7)))
 
     async def test_engine_that_does_not_check_would_be_undone(self) -> None:
-        # Why such an engine is sent no order that switches weights.
+        # This is why an engine that does not check gets no orders.
         engine = Engine(checks=False)
-        engine.take('v2', number_order(2, 8))
-        engine.take('v1', number_order(1, 7))
+        engine.load('v2', compute_order_number(2, 8))
+        engine.load('v1', compute_order_number(1, 7))
         self.assertEqual(engine.version, 'v1')
 
 
 class TestDecision(unittest.TestCase):
     def find(
-        self, report: object, checks: bool = True, place: str = 'silom'
+        self, report: object, checks: bool = True, data_centre: str = 'silom'
     ) -> list:
         settings = UpstreamSettings(
             'engine',
             UpstreamKind.ENGINE,
             'g',
-            place,
+            data_centre,
             '127.0.0.1:1',
             can=UpstreamAbilities(reports_state=True, checks_fencing=checks),
         )
@@ -148,7 +148,7 @@
         self.assertEqual(len(self.find(old)), 1)
         self.assertEqual(self.find(EngineReport('one', {'m': 'v2'})), [])
         self.assertEqual(self.find(NO_REPORT), [])
-        self.assertEqual(self.find(old, place='bangna'), [])
+        self.assertEqual(self.find(old, data_centre='bangna'), [])
 
     def test_engine_that_does_not_check_gets_no_order(self) -> None:
         old = EngineReport('one', {'m': 'v1'})
