--- a/src/lifttrestle/internal/fleet/loads/weights_loader.py
+++ b/src/lifttrestle/internal/fleet/loads/weights_loader.py
@@ -27,8 +27,8 @@
 
 from lifttrestle.errors import ConditionFailed
 from lifttrestle.errors import PlatformUnavailable
-from lifttrestle.internal.clock.beat import Beat
 from lifttrestle.internal.clock.clock import Clock
+from lifttrestle.internal.clock.ticker import Ticker
 from lifttrestle.internal.fleet.loads.engine_control import EngineControl
 from lifttrestle.internal.fleet.loads.engine_control import EngineState
 from lifttrestle.internal.fleet.loads.engine_control import LoadOrder
@@ -92,7 +92,7 @@
         # The state in which all engines of a model held its weights.
         self._complete_states: dict[str, tuple[int, ...]] = {}
 
-    async def run(self, beat: Beat) -> None:
+    async def run(self, beat: Ticker) -> None:
         """Load missing weights, forever."""
         while True:
             await beat.wait(POLL_SECONDS)
--- a/src/lifttrestle/internal/fleet/stall_watch.py
+++ b/src/lifttrestle/internal/fleet/stall_watch.py
@@ -12,7 +12,7 @@
 
 """Logs pauses of the process: a suspended VM leaves no other trace."""
 
-from lifttrestle.internal.clock.beat import Beat
+from lifttrestle.internal.clock.ticker import Ticker
 from lifttrestle.internal.telemetry.event_log import get_event_log
 
 LOG = get_event_log('router')
@@ -21,7 +21,7 @@
 STALL_SECONDS = 0.5
 
 
-async def watch_stalls(beat: Beat) -> None:
+async def watch_stalls(beat: Ticker) -> None:
     """Log each time that the process was not running, forever."""
     while True:
         late = await beat.wait(POLL_SECONDS)
--- a/src/lifttrestle/internal/fleet/state/reach_probing.py
+++ b/src/lifttrestle/internal/fleet/state/reach_probing.py
@@ -23,8 +23,8 @@
 from collections.abc import Iterable
 
 from lifttrestle.errors import UpstreamConnectFailed
-from lifttrestle.internal.clock.beat import Beat
 from lifttrestle.internal.clock.clock import Clock
+from lifttrestle.internal.clock.ticker import Ticker
 from lifttrestle.internal.fleet.state.cache_stores import CacheStore
 from lifttrestle.internal.fleet.state.cache_stores import CacheStores
 from lifttrestle.internal.fleet.state.directory import UpstreamDirectory
@@ -67,7 +67,7 @@
         self._probes: dict[str, asyncio.Task[None]] = {}
         self.on_probed: Callable[[str, bool, bool], None] = _ignore_probe
 
-    async def run(self, beat: Beat) -> None:
+    async def run(self, beat: Ticker) -> None:
         """Start due probes periodically until cancelled."""
         try:
             while True:
--- a/src/lifttrestle/internal/fleet/state/relay_follower.py
+++ b/src/lifttrestle/internal/fleet/state/relay_follower.py
@@ -23,8 +23,8 @@
 
 from lifttrestle.errors import InputRefused
 from lifttrestle.errors import PlatformUnavailable
-from lifttrestle.internal.clock.beat import Beat
 from lifttrestle.internal.clock.clock import Clock
+from lifttrestle.internal.clock.ticker import Ticker
 from lifttrestle.internal.fleet.state.relay_messages import encode_frame
 from lifttrestle.internal.fleet.state.relay_messages import MAX_UPDATE_BYTES
 from lifttrestle.internal.fleet.state.relay_messages import read_frame
@@ -89,7 +89,7 @@
         self._relays: list[str] = []
         self._reads_directly = True
 
-    async def run(self, beat: Beat) -> None:
+    async def run(self, beat: Ticker) -> None:
         """Follow relays, and read the store directly while none works."""
         started_at = self._clock.monotonic()
         self._last_confirmed_at = (
--- a/src/lifttrestle/internal/telemetry/event_sink.py
+++ b/src/lifttrestle/internal/telemetry/event_sink.py
@@ -25,8 +25,8 @@
 import msgspec
 
 from lifttrestle.internal.admission.bucket import TokenBucket
-from lifttrestle.internal.clock.beat import Beat
 from lifttrestle.internal.clock.clock import Clock
+from lifttrestle.internal.clock.ticker import Ticker
 from lifttrestle.internal.telemetry.event_log import FIELDS
 from lifttrestle.internal.telemetry.event_log import RATE_EXEMPT
 from lifttrestle.internal.telemetry.event_log import ROOT
@@ -65,7 +65,7 @@
         """Return how many lines were dropped since the last summary."""
         return self._output.dropped
 
-    async def run(self, ticker: Beat) -> None:
+    async def run(self, ticker: Ticker) -> None:
         """Buffer lines and write them periodically, until cancelled."""
         self._is_buffering = True
         try:
--- a/tests/cover/test_relay_follower.py
+++ b/tests/cover/test_relay_follower.py
@@ -21,8 +21,8 @@
 import msgspec
 
 from lifttrestle.errors import InputRefused
-from lifttrestle.internal.clock.beat import Beat
 from lifttrestle.internal.clock.manual import ManualClock
+from lifttrestle.internal.clock.ticker import Ticker
 from lifttrestle.internal.fleet.state.relay_follower import AVOID_SECONDS
 from lifttrestle.internal.fleet.state.relay_follower import POLL_SECONDS
 from lifttrestle.internal.fleet.state.relay_follower import RELAY_RANKING_KEY
@@ -89,7 +89,7 @@
 
     async def follow(self):
         """Run the follower for three times ``AVOID_SECONDS``."""
-        running = asyncio.create_task(self.follower.run(Beat(self.clock)))
+        running = asyncio.create_task(self.follower.run(Ticker(self.clock)))
         await settle()
         for _ in range(int(3 * AVOID_SECONDS / POLL_SECONDS)):
             self.clock.advance(POLL_SECONDS)
