--- a/src/lifttrestle/internal/router/once_exchange.py
+++ b/src/lifttrestle/internal/router/once_exchange.py
@@ -118,7 +118,7 @@
         except (PlatformUnavailable, TimeoutError) as error:
             # The claim may exist, or come to exist. This attempt will never
             # be sent, so it alone may void it; the caller need not wait.
-            self._parts.ledger.void_later(self._run_key, self._attempt_id)
+            self._parts.ledger.schedule_void(self._run_key, self._attempt_id)
             raise RequestRefused(
                 ErrorKind.TABLE_UNAVAILABLE,
                 'the run could not be recorded, so the request was not sent:'
@@ -214,13 +214,13 @@
             return
         ledger = self._parts.ledger
         if not await ledger.void(self._run_key, self._attempt_id):
-            ledger.void_later(self._run_key, self._attempt_id)
+            ledger.schedule_void(self._run_key, self._attempt_id)
 
     def _finish(
         self, claim: Claim | None, state: RunState, status: int
     ) -> None:
         if claim is not None:
-            self._parts.ledger.finish_later(claim, state, status)
+            self._parts.ledger.schedule_finish(claim, state, status)
 
     def _fingerprint(self) -> str:
         method = self._scope.head.method
--- a/src/lifttrestle/internal/runrecord/ledger.py
+++ b/src/lifttrestle/internal/runrecord/ledger.py
@@ -117,7 +117,7 @@
     async def void(self, run_key: RunKey, attempt: str) -> bool:
         """Try once to void what this attempt may have claimed.
 
-        :return: False if the table did not answer; ``void_later`` goes on.
+        :return: False if the table did not answer; ``schedule_void`` goes on.
         """
         try:
             await self._settle_once(run_key, attempt, RunState.VOID, 0)
@@ -125,11 +125,13 @@
             return False
         return True
 
-    def void_later(self, run_key: RunKey, attempt: str) -> None:
+    def schedule_void(self, run_key: RunKey, attempt: str) -> None:
         """Void in the background, until the table has answered."""
         self._start(run_key, attempt, RunState.VOID, 0)
 
-    def finish_later(self, claim: Claim, state: RunState, status: int) -> None:
+    def schedule_finish(
+        self, claim: Claim, state: RunState, status: int
+    ) -> None:
         """Record the outcome in the background."""
         self._keep(asyncio.create_task(self._finish(claim, state, status)))
 
--- a/tests/cover/test_run_record_model.py
+++ b/tests/cover/test_run_record_model.py
@@ -99,7 +99,7 @@
         try:
             outcome = await ledger.claim(run_key, attempt.name, 'same')
         except PlatformUnavailable:
-            ledger.void_later(run_key, attempt.name)
+            ledger.schedule_void(run_key, attempt.name)
             attempt.said = 'not run'
             return
         if isinstance(outcome, Claim):
@@ -131,12 +131,12 @@
         self.settle()
 
     async def finish(self, ledger: RunLedger, attempt: Attempt) -> None:
-        ledger.finish_later(attempt.claim, RunState.DONE, 200)
+        ledger.schedule_finish(attempt.claim, RunState.DONE, 200)
 
     async def void(
         self, ledger: RunLedger, run_key: RunKey, name: str
     ) -> None:
-        ledger.void_later(run_key, name)
+        ledger.schedule_void(run_key, name)
 
     @stateful.rule(seconds=st.sampled_from((0.2, 5.0)))
     def pass_time(self, seconds: float) -> None:
