--- a/src/lifttrestle/internal/runrecord/committer.py
+++ b/src/lifttrestle/internal/runrecord/committer.py
@@ -10,10 +10,10 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Groups conditional writes of many requests into few transactions.
+"""Batches conditional writes of many requests into few transactions.
 
-The table service carries several hundred writes a second, far fewer than the
-requests of Contest Sunday, so writes that arrive together travel together.
+The table service sustains several hundred writes a second, far fewer than the
+requests that arrive at peak load, so concurrent writes share a transaction.
 """
 
 import asyncio
@@ -27,12 +27,15 @@
 from lifttrestle.internal.store.row import Write
 from lifttrestle.internal.store.table import TableService
 
-MAX_GROUP = 128
+MAX_GROUP_WRITES = 128
 
 
 @dataclasses.dataclass(eq=False)
 class PendingWrite:
-    """One write that waits for its group's outcome."""
+    """A write that awaits the outcome of its group.
+
+    :ivar done: receives the new version of the row, or the error.
+    """
 
     check: Check
     write: Write
@@ -40,10 +43,10 @@
 
 
 class GroupCommitter:
-    """Commits what has gathered while the group before was under way.
+    """Commits the writes that arrive while the previous group is in flight.
 
-    The object starts a task while there is something to write; ``flush``
-    waits for the last one.
+    A background task runs as long as writes are pending; ``flush`` waits
+    for it to end.
     """
 
     def __init__(self, table: TableService) -> None:
@@ -54,9 +57,9 @@
     async def commit(self, check: Check, write: Write) -> int:
         """Write a row if its check holds, and return its new version.
 
-        :raises ConditionFailed: if the row is not as the check requires.
-        :raises PlatformUnavailable: without an answer; the write may have
-            taken effect, or may do so later.
+        :raises ConditionFailed: if the row does not match the check.
+        :raises PlatformUnavailable: if no answer was received; the write
+            may have taken effect, or may still do so.
         """
         done = asyncio.get_running_loop().create_future()
         self._pending.append(PendingWrite(check, write, done))
@@ -65,27 +68,27 @@
         return await done
 
     async def flush(self) -> None:
-        """Wait until nothing is under way."""
+        """Wait until all pending writes are committed or have failed."""
         while self._task is not None and not self._task.done():
             await asyncio.wait({self._task})
 
     async def _run(self) -> None:
         while self._pending:
-            await self._commit_group(self._take_group())
+            await self._commit_group(self._pop_group())
 
-    def _take_group(self) -> list[PendingWrite]:
-        """Take waiting writes, at most one for each key."""
+    def _pop_group(self) -> list[PendingWrite]:
+        """Remove the next group from the queue, at most one write per key."""
         group: dict[str, PendingWrite] = {}
-        later: list[PendingWrite] = []
-        while self._pending and len(group) < MAX_GROUP:
+        deferred: list[PendingWrite] = []
+        while self._pending and len(group) < MAX_GROUP_WRITES:
             item = self._pending.popleft()
             if item.done.done():
                 continue
             if item.write.key in group:
-                later.append(item)
+                deferred.append(item)
                 continue
             group[item.write.key] = item
-        self._pending.extendleft(reversed(later))
+        self._pending.extendleft(reversed(deferred))
         return list(group.values())
 
     async def _commit_group(self, group: list[PendingWrite]) -> None:
@@ -100,12 +103,17 @@
                 group = _drop_failed(group, conflict)
                 continue
             except PlatformUnavailable as error:
-                _settle(group, error)
+                _resolve(group, error)
                 return
             except BaseException as error:
-                _settle(group, PlatformUnavailable(f'stopped: {error!r}'))
+                _resolve(
+                    group,
+                    PlatformUnavailable(
+                        f'group commit was interrupted: {error!r}'
+                    ),
+                )
                 raise
-            _settle(group, commit)
+            _resolve(group, commit)
             return
 
 
@@ -116,11 +124,11 @@
     if not failed:
         failed = group
     for item in failed:
-        _settle([item], ConditionFailed((item.check.key,)))
+        _resolve([item], ConditionFailed((item.check.key,)))
     return [item for item in group if item not in failed]
 
 
-def _settle(group: list[PendingWrite], outcome: int | Exception) -> None:
+def _resolve(group: list[PendingWrite], outcome: int | Exception) -> None:
     for item in group:
         if item.done.done():
             continue
--- a/src/lifttrestle/internal/runrecord/ledger.py
+++ b/src/lifttrestle/internal/runrecord/ledger.py
@@ -10,10 +10,11 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Claims idempotency keys in the table service, so that each runs once.
+"""Claims idempotency keys in the table service, so each runs at most once.
 
-A claim names the attempt that made it. Nobody takes a claim over: its holder
-may only be paused. An attempt that was never sent voids its own claim.
+A claim names the attempt that made it. A claim is never taken over, since its
+holder may merely be paused. An attempt that was never sent to an upstream
+voids its own claim.
 """
 
 import asyncio
@@ -35,8 +36,8 @@
 from lifttrestle.internal.store.table import TableService
 
 LOG = logging.getLogger('lifttrestle.runrecord')
-SETTLE_PAUSE_SECONDS = 0.2
-SETTLE_MAX_PAUSE_SECONDS = 5.0
+RETRY_PAUSE_SECONDS = 0.2
+MAX_RETRY_PAUSE_SECONDS = 5.0
 
 
 @dataclasses.dataclass(frozen=True)
@@ -48,7 +49,7 @@
 
     @property
     def row(self) -> str:
-        """Return the key of the row in the table service."""
+        """Return the row key in the table service."""
         return f'run/{self.workspace}/{self.key}'
 
 
@@ -56,7 +57,7 @@
 class Claim:
     """A claim that one attempt holds.
 
-    :ivar version: the version of its row.
+    :ivar version: the version of its row in the table service.
     """
 
     run_key: RunKey
@@ -65,14 +66,14 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Taken:
-    """The record of another attempt that stands in the way."""
+class ClaimConflict:
+    """The record of another attempt that prevents a claim."""
 
     record: RunRecord
 
 
 class RunLedger:
-    """Makes, settles and voids claims; the writes are grouped."""
+    """Makes and voids claims and records their outcomes in grouped writes."""
 
     def __init__(self, table: TableService, clock: Clock, router: str) -> None:
         self._table = table
@@ -83,11 +84,11 @@
 
     async def claim(
         self, run_key: RunKey, attempt: str, fingerprint: str
-    ) -> Claim | Taken:
-        """Claim a key for an attempt, or return what stands in the way.
+    ) -> Claim | ClaimConflict:
+        """Claim a key for an attempt, or return the conflicting record.
 
-        :raises PlatformUnavailable: if it can't be known that the claim is
-            held. The caller must then not send the request, and should
+        :raises PlatformUnavailable: if it is unknown whether the claim was
+            written. The caller must then not send the request, and should
             ``void`` the claim, which may exist.
         """
         record = RunRecord(
@@ -111,43 +112,46 @@
             if found.attempt == attempt:
                 return Claim(run_key, record, row.version)
             if found.state is not RunState.VOID:
-                return Taken(found)
+                return ClaimConflict(found)
             version = row.version
 
     async def void(self, run_key: RunKey, attempt: str) -> bool:
-        """Try once to void what this attempt may have claimed.
+        """Try once to void the claim that this attempt may hold.
 
-        :return: False if the table did not answer; ``schedule_void`` goes on.
+        :return: False if the table did not answer or the row has changed;
+            ``schedule_void`` retries until it succeeds.
         """
         try:
-            await self._settle_once(run_key, attempt, RunState.VOID, 0)
+            await self._write_state_once(run_key, attempt, RunState.VOID, 0)
         except (PlatformUnavailable, ConditionFailed):
             return False
         return True
 
     def schedule_void(self, run_key: RunKey, attempt: str) -> None:
-        """Void in the background, until the table has answered."""
-        self._start(run_key, attempt, RunState.VOID, 0)
+        """Void a claim in the background, with retries until it succeeds."""
+        self._start_state_write(run_key, attempt, RunState.VOID, 0)
 
     def schedule_finish(
         self, claim: Claim, state: RunState, status: int
     ) -> None:
-        """Record the outcome in the background."""
-        self._keep(asyncio.create_task(self._finish(claim, state, status)))
+        """Record the outcome of a claim in the background, with retries."""
+        self._track(asyncio.create_task(self._finish(claim, state, status)))
 
     async def flush(self, seconds: float) -> None:
-        """Wait, but not longer than ``seconds``, for background records."""
+        """Wait for background writes, for at most ``seconds``."""
         if self._tasks:
             await asyncio.wait(set(self._tasks), timeout=seconds)
 
-    def _start(
+    def _start_state_write(
         self, run_key: RunKey, attempt: str, state: RunState, status: int
     ) -> None:
-        self._keep(
-            asyncio.create_task(self._settle(run_key, attempt, state, status))
+        self._track(
+            asyncio.create_task(
+                self._write_state(run_key, attempt, state, status)
+            )
         )
 
-    def _keep(self, task: asyncio.Task[None]) -> None:
+    def _track(self, task: asyncio.Task[None]) -> None:
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
@@ -156,34 +160,38 @@
     ) -> None:
         attempt = claim.record.attempt
         fingerprint = claim.record.fingerprint
-        outcome = self._make(attempt, state, fingerprint, status)
+        outcome = self._make_record(attempt, state, fingerprint, status)
         try:
             await self._write(claim.run_key, outcome, claim.version)
         except (PlatformUnavailable, ConditionFailed):
-            await self._settle(claim.run_key, attempt, state, status)
+            await self._write_state(claim.run_key, attempt, state, status)
 
-    async def _settle(
+    async def _write_state(
         self, run_key: RunKey, attempt: str, state: RunState, status: int
     ) -> None:
-        pause = SETTLE_PAUSE_SECONDS
+        pause = RETRY_PAUSE_SECONDS
         while True:
             try:
-                await self._settle_once(run_key, attempt, state, status)
+                await self._write_state_once(run_key, attempt, state, status)
                 return
             except (PlatformUnavailable, ConditionFailed) as error:
-                LOG.debug('runrecord: %s not settled: %s', attempt, error)
+                LOG.debug(
+                    'runrecord: state of attempt %s not written: %s',
+                    attempt,
+                    error,
+                )
             await self._clock.sleep(pause)
-            pause = min(pause * 2, SETTLE_MAX_PAUSE_SECONDS)
+            pause = min(pause * 2, MAX_RETRY_PAUSE_SECONDS)
 
-    async def _settle_once(
+    async def _write_state_once(
         self, run_key: RunKey, attempt: str, state: RunState, status: int
     ) -> None:
         row = await self._read(run_key)
         if row is None:
-            # The claim's write may still be on its way. A void row in its
-            # place makes that write fail when it arrives.
+            # The write of the claim may still be in flight. This row makes
+            # the condition of that write fail when it arrives.
             await self._write(
-                run_key, self._make(attempt, state, '', status), ABSENT
+                run_key, self._make_record(attempt, state, '', status), ABSENT
             )
             return
         found = _decode(row)
@@ -192,12 +200,13 @@
             return
         if found.attempt == attempt and found.state is state:
             return
-        # Where another attempt's void row stands, our claim that would have
-        # replaced it may still be on its way: a new version stops it too.
-        settled = self._make(attempt, state, found.fingerprint, status)
-        await self._write(run_key, settled, row.version)
+        # If the row holds the void record of another attempt, the write of
+        # our claim that would replace it may still be in flight; the new
+        # version of the row makes that write fail as well.
+        record = self._make_record(attempt, state, found.fingerprint, status)
+        await self._write(run_key, record, row.version)
 
-    def _make(
+    def _make_record(
         self, attempt: str, state: RunState, fingerprint: str, status: int
     ) -> RunRecord:
         now = self._clock.now()
--- a/src/lifttrestle/internal/runrecord/record.py
+++ b/src/lifttrestle/internal/runrecord/record.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""What the table service records of a request that may run only once."""
+"""Stored record of a request that must run at most once."""
 
 import datetime
 import enum
@@ -19,10 +19,10 @@
 
 
 class RunState(enum.Enum):
-    """How far the request has come, as far as is known.
+    """Last known execution state of the request.
 
-    ``CLAIMED`` may have run: its holder may be paused and is the only one
-    that may say otherwise.
+    A ``CLAIMED`` request may have run: its holder may be paused, and only the
+    holder may record another state.
     """
 
     CLAIMED = 'claimed'
@@ -32,11 +32,13 @@
 
 
 class RunRecord(msgspec.Struct, frozen=True):
-    """One idempotency key of one workspace.
+    """State of one idempotency key of one workspace.
 
-    :ivar attempt: the one attempt that holds the claim.
-    :ivar fingerprint: a digest of the request, to detect a reused key.
-    :ivar status: the service's HTTP status, once it is done.
+    :ivar attempt: id of the attempt that holds the claim.
+    :ivar fingerprint: digest of the request, to detect a reused key.
+    :ivar router: name of the router that wrote the record.
+    :ivar at: time of the write.
+    :ivar status: HTTP status of the answer, once the request is done.
     """
 
     attempt: str
--- a/tests/cover/test_run_record_model.py
+++ b/tests/cover/test_run_record_model.py
@@ -10,12 +10,12 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Every interleaving of loss, pause, crash and retry around a run record.
+"""Stateful test of run records under lost calls, pauses, crashes and retries.
 
-Several routers try to run the same few keys. Hypothesis decides, call by
-call, what becomes of each call to the table, when a claimed request is sent
-or given up, and when a router dies. Three deliberate faults of the mechanism
-show that the model can fail.
+Several routers try to run the same idempotency key. Hypothesis chooses the
+fate of each call to the table, when a claimed request is sent or abandoned,
+and when a router crashes. Three ledgers with an injected fault show that the
+model detects violations.
 """
 
 import asyncio
@@ -31,16 +31,16 @@
 from lifttrestle.errors import PlatformUnavailable
 from lifttrestle.internal.clock.manual import ManualClock
 from lifttrestle.internal.runrecord.ledger import Claim
+from lifttrestle.internal.runrecord.ledger import ClaimConflict
 from lifttrestle.internal.runrecord.ledger import RunKey
 from lifttrestle.internal.runrecord.ledger import RunLedger
-from lifttrestle.internal.runrecord.ledger import Taken
 from lifttrestle.internal.runrecord.record import RunRecord
 from lifttrestle.internal.runrecord.record import RunState
 from tests.support.gated_model import GatedModel
 from tests.support.gated_table import GatedTable
 
 START = datetime.datetime(2026, 12, 6, tzinfo=datetime.timezone.utc)
-# One key: examples that spread over several meet less often.
+# A single key, since attempts on several keys conflict less often.
 KEYS = ('grid-1',)
 EXAMPLES = settings(
     max_examples=400,
@@ -50,7 +50,7 @@
     deadline=None,
     report_multiple_bugs=False,
 )
-# A deliberate fault is to be found; the smallest example of it is not needed.
+# An injected fault only has to be found, so the example is not shrunk.
 FAULTY_EXAMPLES = settings(EXAMPLES, phases=(Phase.generate,))
 
 
@@ -172,11 +172,11 @@
 
 
 class TakingOver(RunLedger):
-    """Takes a claim for void, as if its holder could not wake again."""
+    """Treats a claim as void, as if its holder could not resume."""
 
     async def claim(
         self, run_key: RunKey, attempt: str, fingerprint: str
-    ) -> Claim | Taken:
+    ) -> Claim | ClaimConflict:
         outcome = await super().claim(run_key, attempt, fingerprint)
         if isinstance(outcome, Claim):
             return outcome
@@ -185,12 +185,12 @@
         return Claim(run_key, outcome.record, 0)
 
 
-class Trusting(RunLedger):
-    """Takes a lost answer for a claim that took effect."""
+class TrustingLostAnswers(RunLedger):
+    """Treats a lost answer as a claim that took effect."""
 
     async def claim(
         self, run_key: RunKey, attempt: str, fingerprint: str
-    ) -> Claim | Taken:
+    ) -> Claim | ClaimConflict:
         try:
             return await super().claim(run_key, attempt, fingerprint)
         except PlatformUnavailable:
@@ -202,14 +202,14 @@
 
 
 class VoidingOthers(RunLedger):
-    """Voids a claim without looking whose it is."""
+    """Voids a claim without checking which attempt holds it."""
 
-    async def _settle_once(
+    async def _write_state_once(
         self, run_key: RunKey, attempt: str, state: RunState, status: int
     ) -> None:
         row = await self._read(run_key)
         version = row.version if row else 0
-        record = self._make(attempt, state, '', status)
+        record = self._make_record(attempt, state, '', status)
         await self._write(run_key, record, version)
 
 
@@ -228,7 +228,7 @@
 
     def test_model_finds_trust_in_a_lost_answer(self) -> None:
         with self.assertRaises(AssertionError):
-            self.check(Trusting)
+            self.check(TrustingLostAnswers)
 
     def test_model_finds_the_voiding_of_others(self) -> None:
         with self.assertRaises(AssertionError):
