--- a/src/lifttrestle/internal/configuration/keeper.py
+++ b/src/lifttrestle/internal/configuration/keeper.py
@@ -243,7 +243,7 @@
         heads = await self._store.read_heads()
         self._members = heads.members
         self.sight.members = heads.members.value
-        if not heads.members.value.has(self._member.instance):
+        if not heads.members.value.contains(self._member.instance):
             # Taken for gone: what was accepted since did not wait for us.
             LOG.warning('configuration: not on the list any more')
             self._registered = False
@@ -274,7 +274,7 @@
     async def _acknowledge(self, plan_id: str) -> None:
         if self._acknowledged == plan_id:
             return
-        if not self._sponsorship.all_obey(plan_id):
+        if not self._sponsorship.all_enforce(plan_id):
             return
         await self._store.acknowledge(plan_id, self._member.instance)
         self._acknowledged = plan_id
--- a/src/lifttrestle/internal/membership/exchange.py
+++ b/src/lifttrestle/internal/membership/exchange.py
@@ -48,7 +48,7 @@
         source: random.Random,
     ) -> None:
         self.leaving = False
-        self.sponsor_heard_at = float('-inf')
+        self.last_sponsored_at = float('-inf')
         self._member = member
         self._keeper = keeper
         self._peers = peers
@@ -164,13 +164,15 @@
         able = self._keeper.registered and not self.leaving
         if greeting.wants_sponsor and able:
             self._sponsorship.add(greeting.member)
-        self._sponsorship.note(instance, greeting.plan_id, greeting.registered)
+        self._sponsorship.update(
+            instance, greeting.plan_id, greeting.registered
+        )
         return greeting.wants_sponsor and able
 
     def _learn(self, reply: Reply, now: float) -> None:
         self._peers.note(reply.member, reply.leaving)
         if reply.sponsors:
-            self.sponsor_heard_at = now
+            self.last_sponsored_at = now
         if reply.document is not None:
             document = Document().apply(reply.document)
             self._keeper.take_document(
--- a/src/lifttrestle/internal/membership/listed_vms.py
+++ b/src/lifttrestle/internal/membership/listed_vms.py
@@ -30,7 +30,7 @@
         self._present = set(vms)
         self._seen.update(vms)
 
-    def is_known(self, vm: str) -> bool:
+    def was_listed(self, vm: str) -> bool:
         """Return whether a VM was listed at least once."""
         return vm in self._seen
 
--- a/src/lifttrestle/internal/membership/member.py
+++ b/src/lifttrestle/internal/membership/member.py
@@ -50,7 +50,7 @@
         )
         return Members((*others, member))
 
-    def has(self, instance: str) -> bool:
+    def contains(self, instance: str) -> bool:
         """Return whether a process stands in the row."""
         return any(item.instance == instance for item in self.routers)
 
--- a/src/lifttrestle/internal/membership/sponsorship.py
+++ b/src/lifttrestle/internal/membership/sponsorship.py
@@ -42,7 +42,7 @@
         """Answer for a router from now on."""
         self._sponsored.setdefault(member.instance, Sponsored(member))
 
-    def note(self, instance: str, plan_id: str, registered: bool) -> None:
+    def update(self, instance: str, plan_id: str, registered: bool) -> None:
         """Note what a router said: what it obeys, and if it registered."""
         if registered:
             self._sponsored.pop(instance, None)
@@ -61,7 +61,7 @@
         for instance in gone:
             del self._sponsored[instance]
 
-    def all_obey(self, plan_id: str) -> bool:
+    def all_enforce(self, plan_id: str) -> bool:
         """Return whether every router in our care obeys a plan."""
         return all(
             item.plan_id == plan_id for item in self._sponsored.values()
--- a/src/lifttrestle/internal/router/readiness.py
+++ b/src/lifttrestle/internal/router/readiness.py
@@ -49,7 +49,7 @@
             return False
         if self._keeper.registered:
             return True
-        silent = self._clock.monotonic() - self._exchange.sponsor_heard_at
+        silent = self._clock.monotonic() - self._exchange.last_sponsored_at
         return silent <= SPONSOR_SECONDS
 
     def is_ready(self) -> bool:
--- a/src/lifttrestle/internal/upstream/registry.py
+++ b/src/lifttrestle/internal/upstream/registry.py
@@ -81,7 +81,7 @@
         self._listed.update(vms)
         for upstream in self._states.values():
             name = upstream.settings.vm
-            if not self._listed.is_known(name):
+            if not self._listed.was_listed(name):
                 continue
             vm = vms.get(name)
             upstream.leaving = vm is None or vm.state is VmState.LEAVING
--- a/tests/cover/test_configuration_model.py
+++ b/tests/cover/test_configuration_model.py
@@ -237,7 +237,7 @@
             asked.sponsorship.add(asker.member)
             asker.sponsor = asked
         plan_id = view.proposal.plan_id if view.proposal else ''
-        asked.sponsorship.note(
+        asked.sponsorship.update(
             asker.member.instance, plan_id, asker.keeper.registered
         )
         if not asked.keeper.loaded:
--- a/tests/cover/test_listed_vms.py
+++ b/tests/cover/test_listed_vms.py
@@ -27,4 +27,4 @@
         self.assertFalse(listed.is_gone('b'))
         listed.update({'a', 'b'})
         self.assertFalse(listed.is_gone('a'))
-        self.assertTrue(listed.is_known('a'))
+        self.assertTrue(listed.was_listed('a'))
