--- a/src/lifttrestle/internal/membership/exchange.py
+++ b/src/lifttrestle/internal/membership/exchange.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Answers peers' greetings and greets peers, over pynng sockets."""
+"""Exchanges greetings and replies with peer routers over pynng sockets."""
 
 import asyncio
 from collections.abc import Callable
@@ -30,13 +30,18 @@
 from lifttrestle.internal.membership.sponsorship import Sponsorship
 
 LOG = logging.getLogger('lifttrestle.peers')
-CALL_MILLISECONDS = 1000
+REQUEST_TIMEOUT_MILLISECONDS = 1000
 MAX_MESSAGE_BYTES = 64 * 1024 * 1024
-PEERS_A_ROUND = 2
+PEERS_PER_ROUND = 2
 
 
 class PeerExchange:
-    """Owns the sockets towards the other routers of the data centre."""
+    """Owns the sockets to the other routers of the data centre.
+
+    :ivar leaving: whether this router is stopping; sent to all peers.
+    :ivar last_sponsored_at: monotonic time of the last reply in which a peer
+        sponsored this router, or minus infinity.
+    """
 
     def __init__(
         self,
@@ -58,16 +63,16 @@
         self._listener: pynng.Rep0 | None = None
 
     def start(self, address: Address) -> Address:
-        """Listen for greetings and return the address in force."""
+        """Listen for greetings and return the bound address."""
         self._listener = pynng.Rep0(recv_max_size=MAX_MESSAGE_BYTES)
         self._listener.listen(f'tcp://{address}')
         port = self._listener.listeners[0].local_address.port
-        # The library gives the port in network byte order.
+        # pynng returns the port in network byte order.
         host_order = int.from_bytes(port.to_bytes(2, 'little'), 'big')
         return Address(address.host, host_order)
 
     def set_member(self, member: Member) -> None:
-        """Set who we are, once the address in force is known."""
+        """Set the entry of this router, once its bound address is known."""
         self._member = member
 
     def stop(self) -> None:
@@ -76,7 +81,7 @@
             self._listener.close()
 
     async def answer_greetings(self) -> None:
-        """Answer peers until the socket is closed."""
+        """Answer greetings of peers until the socket is closed."""
         assert self._listener is not None
         while True:
             try:
@@ -87,16 +92,16 @@
             except pynng.Closed:
                 return
             except (pynng.NNGException, msgspec.MsgspecError) as error:
-                LOG.warning('peers: dropped a message: %s', error)
+                LOG.warning('peers: a greeting was not answered: %s', error)
 
-    async def greet_some(self, now: float) -> None:
-        """Greet a few peers at random and learn what they know."""
+    async def greet_random_peers(self, now: float) -> None:
+        """Greet a few randomly chosen peers and apply their replies."""
         addresses = self._list_addresses()
-        count = min(PEERS_A_ROUND, len(addresses))
+        count = min(PEERS_PER_ROUND, len(addresses))
         for address in self._source.sample(addresses, count):
             reply = await self._greet(address)
             if reply is not None:
-                self._learn(reply, now)
+                self._apply_reply(reply, now)
 
     def _list_addresses(self) -> list[str]:
         registered = [
@@ -111,8 +116,8 @@
         greeting = self._build_greeting()
         try:
             with pynng.Req0(
-                send_timeout=CALL_MILLISECONDS,
-                recv_timeout=CALL_MILLISECONDS,
+                send_timeout=REQUEST_TIMEOUT_MILLISECONDS,
+                recv_timeout=REQUEST_TIMEOUT_MILLISECONDS,
                 recv_max_size=MAX_MESSAGE_BYTES,
             ) as socket:
                 socket.dial(f'tcp://{address}', block=False)
@@ -137,8 +142,8 @@
     def _build_reply(self, greeting: Greeting) -> Reply:
         keeper = self._keeper
         view = keeper.view
-        self._peers.note(greeting.member, greeting.leaving)
-        sponsors = self._sponsor(greeting)
+        self._peers.update(greeting.member, greeting.leaving)
+        sponsors = self._update_sponsorship(greeting)
         changes = None
         document = None
         if keeper.loaded and greeting.revision < view.revision:
@@ -159,18 +164,18 @@
             document=document,
         )
 
-    def _sponsor(self, greeting: Greeting) -> bool:
+    def _update_sponsorship(self, greeting: Greeting) -> bool:
         instance = greeting.member.instance
-        able = self._keeper.registered and not self.leaving
-        if greeting.wants_sponsor and able:
+        can_sponsor = self._keeper.registered and not self.leaving
+        if greeting.wants_sponsor and can_sponsor:
             self._sponsorship.add(greeting.member)
         self._sponsorship.update(
             instance, greeting.plan_id, greeting.registered
         )
-        return greeting.wants_sponsor and able
+        return greeting.wants_sponsor and can_sponsor
 
-    def _learn(self, reply: Reply, now: float) -> None:
-        self._peers.note(reply.member, reply.leaving)
+    def _apply_reply(self, reply: Reply, now: float) -> None:
+        self._peers.update(reply.member, reply.leaving)
         if reply.sponsors:
             self.last_sponsored_at = now
         if reply.document is not None:
@@ -186,7 +191,7 @@
 async def exchange_forever(
     exchange: PeerExchange, get_now: Callable[[], float], seconds: float
 ) -> None:
-    """Greet peers once a period until the task is cancelled."""
+    """Greet peers every ``seconds`` until the task is cancelled."""
     while True:
-        await exchange.greet_some(get_now())
+        await exchange.greet_random_peers(get_now())
         await asyncio.sleep(seconds)
--- a/src/lifttrestle/internal/membership/listed_vms.py
+++ b/src/lifttrestle/internal/membership/listed_vms.py
@@ -10,28 +10,29 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Which VMs have gone from a list that lags.
+"""Tells new VMs from deleted ones in a VM list that lags.
 
-A VM that was never on the list is new; only one that was there can be gone.
+A VM that was never on the list may be new; only one that was listed before
+can be gone.
 """
 
 from collections.abc import Collection
 
 
 class ListedVms:
-    """Remembers every VM that was listed once."""
+    """Tracks the VMs that are listed now and those that were ever listed."""
 
     def __init__(self) -> None:
         self._seen: set[str] = set()
         self._present: set[str] = set()
 
     def update(self, vms: Collection[str]) -> None:
-        """Take in the list as it is now."""
+        """Replace the current list."""
         self._present = set(vms)
         self._seen.update(vms)
 
     def was_listed(self, vm: str) -> bool:
-        """Return whether a VM was listed at least once."""
+        """Return whether a VM has been listed at least once."""
         return vm in self._seen
 
     def is_gone(self, vm: str) -> bool:
--- a/src/lifttrestle/internal/membership/member.py
+++ b/src/lifttrestle/internal/membership/member.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""A registered router, as it stands in the table service."""
+"""Registered routers, as stored in the table service."""
 
 import msgspec
 
@@ -18,12 +18,12 @@
 class Member(msgspec.Struct, frozen=True):
     """One running router process.
 
-    :ivar instance: unique to this process, so that a restarted router has
-        to acknowledge anew.
-    :ivar peers: the address at which other routers reach it.
-    :ivar listed: whether its VM was seen in the VM list. The list lags, so
-        a VM that is missing from it is either new or gone; only one that was
-        listed can be gone.
+    :ivar instance: id that is unique to this process, so that a restarted
+        router has to acknowledge plans again.
+    :ivar peers: address, as HOST:PORT, at which other routers reach it.
+    :ivar listed: whether its VM has appeared in the VM list. The list lags,
+        so a VM that is missing from it is either new or gone; only one that
+        was listed before can be gone.
     """
 
     instance: str
@@ -35,27 +35,28 @@
 
 
 class Members(msgspec.Struct, frozen=True):
-    """The one row of all registered routers."""
+    """The table row that lists all registered routers."""
 
     routers: tuple[Member, ...] = ()
 
     def add(self, member: Member) -> 'Members':
         """Return the row with ``member`` in place of its predecessor.
 
-        A process of the same name is the same router started again; the one
-        before it has ended, since two can't hold one address.
+        A process of the same name on the same VM is a restart of that
+        router; its predecessor has ended, since two processes can't bind one
+        address.
         """
         others = tuple(
-            item for item in self.routers if not _is_same(item, member)
+            item for item in self.routers if not _is_same_router(item, member)
         )
         return Members((*others, member))
 
     def contains(self, instance: str) -> bool:
-        """Return whether a process stands in the row."""
+        """Return whether the row lists a process."""
         return any(item.instance == instance for item in self.routers)
 
     def remove(self, instances: set[str]) -> 'Members':
-        """Return the row without these processes."""
+        """Return the row without the processes of these instance ids."""
         return Members(
             tuple(
                 item for item in self.routers if item.instance not in instances
@@ -63,5 +64,5 @@
         )
 
 
-def _is_same(known: Member, member: Member) -> bool:
+def _is_same_router(known: Member, member: Member) -> bool:
     return known.name == member.name and known.vm == member.vm
--- a/src/lifttrestle/internal/membership/messages.py
+++ b/src/lifttrestle/internal/membership/messages.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""What routers of one data centre say to each other."""
+"""Messages between the routers of one data centre."""
 
 import msgspec
 
@@ -21,12 +21,14 @@
 
 
 class Greeting(msgspec.Struct, frozen=True, tag=True):
-    """Who asks, and what it knows.
-
-    :ivar revision: the accepted revision it has, or -1 for none.
-    :ivar plan_id: the proposal it obeys, or empty.
-    :ivar wants_sponsor: it could not register and asks to be answered for.
-    :ivar leaving: it is stopping and takes no new share of the limits.
+    """Request that carries the state of the sender.
+
+    :ivar revision: the accepted revision that the sender has, -1 for none.
+    :ivar plan_id: the proposal that the sender enforces, or empty.
+    :ivar registered: whether the sender is registered in the table service.
+    :ivar wants_sponsor: the sender could not register and asks for a sponsor.
+    :ivar leaving: the sender is stopping and takes no new share of the
+        limits.
     """
 
     member: Member
@@ -38,12 +40,16 @@
 
 
 class Reply(msgspec.Struct, frozen=True, tag=True):
-    """What the asked router knows beyond the greeting.
-
-    :ivar changes: the accepted changes that the asker lacks.
-    :ivar document: the whole configuration as changes from an empty one,
-        where the asker is too far behind.
-    :ivar sponsors: whether the asked router answers for the asker.
+    """Answer to a greeting, with the configuration that its sender lacks.
+
+    :ivar revision: the accepted revision that the replier has, -1 for none.
+    :ivar registered: whether the replier is registered.
+    :ivar sponsors: whether the replier sponsors the sender of the greeting.
+    :ivar leaving: the replier is stopping.
+    :ivar proposal: the proposal that the replier knows of.
+    :ivar changes: the accepted changes that the sender of the greeting lacks.
+    :ivar document: the whole configuration as changes from an empty one, if
+        the sender of the greeting is too far behind for ``changes``.
     """
 
     member: Member
--- a/src/lifttrestle/internal/membership/peers.py
+++ b/src/lifttrestle/internal/membership/peers.py
@@ -10,57 +10,60 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""The live routers of this data centre, as this one has heard of them."""
+"""Live routers of this data centre, by the messages received from them."""
 
 import dataclasses
 
 from lifttrestle.internal.clock.clock import Clock
 from lifttrestle.internal.membership.member import Member
 
-SILENT_SECONDS = 5.0
+PEER_TIMEOUT_SECONDS = 5.0
 
 
 @dataclasses.dataclass
 class Peer:
-    """A router that was heard, and when."""
+    """A router and the time of the last message from it."""
 
     member: Member
-    heard_at: float
+    last_received_at: float
     leaving: bool = False
 
 
 class Peers:
-    """Counts the routers among which a data centre's limits are shared."""
+    """Tracks the routers that share the limits of a data centre."""
 
     def __init__(self, clock: Clock, own_instance: str) -> None:
         self._clock = clock
         self._own = own_instance
         self._peers: dict[str, Peer] = {}
 
-    def note(self, member: Member, leaving: bool) -> None:
-        """Note that a router was heard."""
+    def update(self, member: Member, leaving: bool) -> None:
+        """Record a message that was received from a router."""
         if member.instance == self._own:
             return
         now = self._clock.monotonic()
         self._peers[member.instance] = Peer(member, now, leaving)
 
     def count_live(self) -> int:
-        """Return the number of live routers, this one included."""
+        """Return the number of routers that stay, this one included.
+
+        Routers that are leaving are not counted.
+        """
         self._drop_silent()
         staying = [peer for peer in self._peers.values() if not peer.leaving]
         return 1 + len(staying)
 
     def list_addresses(self) -> list[str]:
-        """Return the addresses of the routers heard lately."""
+        """Return the addresses of the live peers."""
         self._drop_silent()
         return [peer.member.peers for peer in self._peers.values()]
 
     def _drop_silent(self) -> None:
-        oldest = self._clock.monotonic() - SILENT_SECONDS
+        oldest = self._clock.monotonic() - PEER_TIMEOUT_SECONDS
         silent = [
             instance
             for instance, peer in self._peers.items()
-            if peer.heard_at < oldest
+            if peer.last_received_at < oldest
         ]
         for instance in silent:
             del self._peers[instance]
--- a/src/lifttrestle/internal/membership/sponsorship.py
+++ b/src/lifttrestle/internal/membership/sponsorship.py
@@ -10,11 +10,11 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""New routers that a registered one answers for while the table is out.
+"""Sponsorship of routers that start while the table service is unavailable.
 
-A router that starts while the table is out cannot register, so no change
-would wait for it. Until it can, a registered peer does not acknowledge a
-proposal before the new router obeys it too.
+Such a router cannot register, so the acceptance of a change would not wait
+for it. Until it can register, its sponsor, a registered peer, acknowledges a
+proposal only once the new router enforces it too.
 """
 
 import dataclasses
@@ -24,26 +24,30 @@
 
 
 @dataclasses.dataclass
-class Sponsored:
-    """A router in our care and the plan that it said it obeys."""
+class SponsoredRouter:
+    """A sponsored router and the plan that it reported to enforce."""
 
     member: Member
     plan_id: str = ''
 
 
 class Sponsorship:
-    """The routers that this one answers for."""
+    """Tracks the routers that this one sponsors."""
 
     def __init__(self) -> None:
-        self._sponsored: dict[str, Sponsored] = {}
+        self._sponsored: dict[str, SponsoredRouter] = {}
         self._listed = ListedVms()
 
     def add(self, member: Member) -> None:
-        """Answer for a router from now on."""
-        self._sponsored.setdefault(member.instance, Sponsored(member))
+        """Start to sponsor a router."""
+        self._sponsored.setdefault(member.instance, SponsoredRouter(member))
 
     def update(self, instance: str, plan_id: str, registered: bool) -> None:
-        """Note what a router said: what it obeys, and if it registered."""
+        """Apply the state that a router reported.
+
+        :param plan_id: the proposal that it enforces, or empty.
+        :param registered: whether it has registered and needs no sponsor.
+        """
         if registered:
             self._sponsored.pop(instance, None)
             return
@@ -51,7 +55,7 @@
             self._sponsored[instance].plan_id = plan_id
 
     def drop_gone(self, vms: set[str]) -> None:
-        """Stop answering for routers whose VM is no longer listed."""
+        """Stop sponsoring routers whose VM is no longer listed."""
         self._listed.update(vms)
         gone = [
             instance
@@ -62,7 +66,7 @@
             del self._sponsored[instance]
 
     def all_enforce(self, plan_id: str) -> bool:
-        """Return whether every router in our care obeys a plan."""
+        """Return whether every sponsored router enforces a plan."""
         return all(
             item.plan_id == plan_id for item in self._sponsored.values()
         )
--- a/src/lifttrestle/internal/membership/threads.py
+++ b/src/lifttrestle/internal/membership/threads.py
@@ -10,9 +10,9 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Keeps the peers' socket library from starting more threads than it needs.
+"""Limits the number of threads that the socket library pynng starts.
 
-It starts several for each processor by default. The work here is a few
+It starts several per processor by default, far more than needed for a few
 messages a second.
 """
 
@@ -21,7 +21,7 @@
 import pynng
 
 LOG = logging.getLogger('lifttrestle.peers')
-THREADS = 1
+THREAD_COUNT = 1
 PARAMETERS = (
     'NNG_INIT_NUM_TASK_THREADS',
     'NNG_INIT_MAX_TASK_THREADS',
@@ -34,10 +34,13 @@
 
 
 def limit_threads() -> None:
-    """Ask for the fewest threads; call it before the first socket."""
+    """Set every thread pool to its minimum.
+
+    Takes effect only if called before the first socket is opened.
+    """
     for name in PARAMETERS:
         number = getattr(pynng.lib, name, None)
         if number is None:
-            LOG.debug('peers: the socket library has no %s', name)
+            LOG.debug('peers: the socket library has no parameter %s', name)
             continue
-        pynng.lib.nng_init_set_parameter(number, THREADS)
+        pynng.lib.nng_init_set_parameter(number, THREAD_COUNT)
--- a/tests/cover/test_listed_vms.py
+++ b/tests/cover/test_listed_vms.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""A VM list that lags: never listed is new, not gone."""
+"""Tests that a VM counts as gone only after it was listed."""
 
 import unittest
 
