--- a/src/lifttrestle/internal/fleet/crashes/holds.py
+++ b/src/lifttrestle/internal/fleet/crashes/holds.py
@@ -141,7 +141,7 @@
             digest = parse_key(row.key)
             held = None if row.value is None else decode_held_row(row.value)
         except ValueError as error:
-            self._refusals.note('holds', row.key, error)
+            self._refusals.report('holds', row.key, error)
             return
         if row.origin is RowOrigin.LOST:
             self._keep_lost_hold(digest)
--- a/src/lifttrestle/internal/fleet/limits/memory.py
+++ b/src/lifttrestle/internal/fleet/limits/memory.py
@@ -121,7 +121,7 @@
         if reported.fault is not None:
             if upstream.start not in self._reported_faults:
                 self._reported_faults.add(upstream.start)
-                self._refusals.note('limits', upstream.start, reported.fault)
+                self._refusals.report('limits', upstream.start, reported.fault)
             return
         if (
             reported.rate is None
--- a/src/lifttrestle/internal/fleet/path/request_context.py
+++ b/src/lifttrestle/internal/fleet/path/request_context.py
@@ -27,7 +27,7 @@
 from lifttrestle.internal.fleet.policy.stopping import can_finish_in_time
 from lifttrestle.internal.fleet.policy.stopping import STOPPING_RETRY_SECONDS
 from lifttrestle.internal.fleet.usage.charge import UsageCharge
-from lifttrestle.internal.refusal.answers import ANSWERS
+from lifttrestle.internal.refusal.answers import ANSWER_RULES
 from lifttrestle.internal.refusal.execution import Execution
 from lifttrestle.internal.refusal.kind import ErrorKind
 
@@ -181,7 +181,7 @@
         view, after an attempt that may have run.
         """
         ran = self.progress.execution
-        promises = ANSWERS[refused.kind].status in NOT_RUN_STATUSES
+        promises = ANSWER_RULES[refused.kind].status in NOT_RUN_STATUSES
         if ran is Execution.NOT_RUN or not promises:
             return refused
         return RequestRefused(
--- a/src/lifttrestle/internal/fleet/state/directory.py
+++ b/src/lifttrestle/internal/fleet/state/directory.py
@@ -108,7 +108,7 @@
             entry = self._format.read_upstream(row.key, row.value)
             _check_names(entry)
         except ValueError as error:
-            self._refusals.note('upstreams', row.key, error)
+            self._refusals.report('upstreams', row.key, error)
             self._drop(row.key)
             return
         known = self._known.get(row.key)
--- a/src/lifttrestle/internal/fleet/state/operator_view.py
+++ b/src/lifttrestle/internal/fleet/state/operator_view.py
@@ -82,7 +82,7 @@
             catalogue = self._format.read_catalogue(row.key, row.value)
             named = self._format.read_weights(row.key, row.value)
         except ValueError as error:
-            self._refusals.note('operator', row.key, error)
+            self._refusals.report('operator', row.key, error)
             return
         if catalogue is not None:
             self._swap(catalogue)
@@ -100,7 +100,7 @@
             return
         self.catalogue = catalogue
         for fault in catalogue.faults:
-            self._refusals.note('operator', 'configuration', fault)
+            self._refusals.report('operator', 'configuration', fault)
         LOG.info('view.applied', version=catalogue.version)
 
     def _want(self, model: str, version: int) -> None:
--- a/src/lifttrestle/internal/fleet/state/peer_datagrams.py
+++ b/src/lifttrestle/internal/fleet/state/peer_datagrams.py
@@ -63,7 +63,7 @@
         try:
             message = decode_message(data)
         except ValueError as error:
-            self._refusals.note('loads', str(address), error)
+            self._refusals.report('loads', str(address), error)
             return
         handle = self._handlers.get(type(message))
         if handle is not None:
--- a/src/lifttrestle/internal/fleet/state/roster.py
+++ b/src/lifttrestle/internal/fleet/state/roster.py
@@ -348,6 +348,6 @@
             if row.address:
                 check_address(row.address)
         except ValueError as error:
-            self._refusals.note('routers', key, error)
+            self._refusals.report('routers', key, error)
             return RouterRow('')
         return row
--- a/src/lifttrestle/internal/fleet/state/weights_view.py
+++ b/src/lifttrestle/internal/fleet/state/weights_view.py
@@ -115,7 +115,7 @@
         try:
             plan = _read_plan(model, row.value)
         except ValueError as error:
-            self._refusals.note('plans', row.key, error)
+            self._refusals.report('plans', row.key, error)
             self._note_no_plan(model, row.version, row.version)
             return
         restored = row.origin is not RowOrigin.WRITTEN
--- a/src/lifttrestle/internal/intake/refusals.py
+++ b/src/lifttrestle/internal/intake/refusals.py
@@ -36,7 +36,7 @@
     ) -> None:
         self._count = count
 
-    def note(self, source: str, key: str, error: ValueError) -> None:
+    def report(self, source: str, key: str, error: ValueError) -> None:
         """Tell of a refused piece.
 
         :param source: the table or the kind of message, from a short list.
--- a/src/lifttrestle/internal/platform/request_dialect.py
+++ b/src/lifttrestle/internal/platform/request_dialect.py
@@ -33,7 +33,7 @@
 from lifttrestle.internal.http.hop_headers import read_keep_alive
 from lifttrestle.internal.platform import names
 from lifttrestle.internal.platform.upstream_limit import read_limit
-from lifttrestle.internal.refusal.answers import ANSWERS
+from lifttrestle.internal.refusal.answers import ANSWER_RULES
 from lifttrestle.internal.refusal.kind import ErrorKind
 
 Number = typing.TypeVar('Number', int, float)
@@ -115,7 +115,7 @@
         self, refused: RequestRefused, request_id: str
     ) -> Answer:
         """Return the answer for a refused request."""
-        rule = ANSWERS[refused.kind]
+        rule = ANSWER_RULES[refused.kind]
         headers = [('content-type', 'application/json')]
         if request_id:
             headers.append((names.REQUEST_ID, request_id))
--- a/src/lifttrestle/internal/refusal/answers.py
+++ b/src/lifttrestle/internal/refusal/answers.py
@@ -32,7 +32,7 @@
     remedy: str
 
 
-ANSWERS: dict[ErrorKind, AnswerRule] = {
+ANSWER_RULES: dict[ErrorKind, AnswerRule] = {
     ErrorKind.MALFORMED_REQUEST: AnswerRule(
         400, False, 'Send a well-formed HTTP/1.1 request.'
     ),
--- a/src/lifttrestle/internal/refusal/body.py
+++ b/src/lifttrestle/internal/refusal/body.py
@@ -18,7 +18,7 @@
 
 from lifttrestle.errors import RequestRefused
 from lifttrestle.internal.http.answer import Answer
-from lifttrestle.internal.refusal.answers import ANSWERS
+from lifttrestle.internal.refusal.answers import ANSWER_RULES
 from lifttrestle.internal.refusal.execution import Execution
 
 
@@ -28,7 +28,7 @@
     :param refused: the refusal, with its kind and whether the request ran.
     :param request_id: the id that the decision log carries as well.
     """
-    rule = ANSWERS[refused.kind]
+    rule = ANSWER_RULES[refused.kind]
     retryable = rule.retryable and refused.ran is Execution.NOT_RUN
     error: dict[str, object] = {
         'message': refused.message,
--- a/src/lifttrestle/internal/refusal/execution.py
+++ b/src/lifttrestle/internal/refusal/execution.py
@@ -23,7 +23,7 @@
     RAN = 'ran'
 
 
-def join_executions(told: Execution, known: Execution) -> Execution:
+def combine_executions(told: Execution, known: Execution) -> Execution:
     """Return the statement that promises less.
 
     :param told: what the code that refused the request says.
--- a/src/lifttrestle/internal/router/caller_handler.py
+++ b/src/lifttrestle/internal/router/caller_handler.py
@@ -30,10 +30,10 @@
 from lifttrestle.internal.http.answer import Answer
 from lifttrestle.internal.http.head import RequestHead
 from lifttrestle.internal.http.server_connection import ServerConnection
-from lifttrestle.internal.refusal.answers import ANSWERS
+from lifttrestle.internal.refusal.answers import ANSWER_RULES
 from lifttrestle.internal.refusal.body import build_refusal
+from lifttrestle.internal.refusal.execution import combine_executions
 from lifttrestle.internal.refusal.execution import Execution
-from lifttrestle.internal.refusal.execution import join_executions
 from lifttrestle.internal.refusal.kind import ErrorKind
 from lifttrestle.internal.router.chooser import UpstreamChooser
 from lifttrestle.internal.router.cut import build_cut_refusal
@@ -135,7 +135,7 @@
                 parts.metrics.count(f'requests.{workspace.name}')
                 await self._run(scope, route, body)
             except RequestRefused as refused:
-                refused.ran = join_executions(
+                refused.ran = combine_executions(
                     refused.ran, scope.progress.execution
                 )
                 raise
@@ -239,7 +239,7 @@
             'router: refused request=%s kind=%s status=%d ran="%s" message=%s',
             request_id,
             kind,
-            ANSWERS[refused.kind].status,
+            ANSWER_RULES[refused.kind].status,
             refused.ran.value,
             refused.message,
         )
--- a/src/lifttrestle/internal/router/once_exchange.py
+++ b/src/lifttrestle/internal/router/once_exchange.py
@@ -30,8 +30,8 @@
 from lifttrestle.internal.exchange.attempts import run_attempts
 from lifttrestle.internal.exchange.progress import RequestEvent
 from lifttrestle.internal.http.answer import Answer
+from lifttrestle.internal.refusal.execution import combine_executions
 from lifttrestle.internal.refusal.execution import Execution
-from lifttrestle.internal.refusal.execution import join_executions
 from lifttrestle.internal.refusal.kind import ErrorKind
 from lifttrestle.internal.router.attempt import Attempt
 from lifttrestle.internal.router.call import check_answer
@@ -101,7 +101,7 @@
             assert answer is not None
             return answer
         except RequestRefused as refused:
-            refused.ran = join_executions(
+            refused.ran = combine_executions(
                 refused.ran, self._scope.progress.execution
             )
             return refused
--- a/src/lifttrestle/internal/router/stream_relay.py
+++ b/src/lifttrestle/internal/router/stream_relay.py
@@ -18,8 +18,8 @@
 from lifttrestle.internal.router.relay import AnswerRelay
 from lifttrestle.internal.router.scope import RequestScope
 from lifttrestle.internal.stream.event import StreamEvent
+from lifttrestle.internal.stream.order import EventAction
 from lifttrestle.internal.stream.order import StreamOrder
-from lifttrestle.internal.stream.order import Verdict
 from lifttrestle.internal.stream.parser import StreamParser
 from lifttrestle.internal.stream.transcript import END_OF_STREAM
 from lifttrestle.internal.stream.transcript import Transcript
@@ -79,7 +79,7 @@
         if not transcript.finished:
             if max_tokens is None or transcript.tokens < max_tokens:
                 return False
-            await self._send(_frame(transcript.build_finish()))
+            await self._send(_frame(transcript.build_final_chunk()))
         await self._send(_frame(END_OF_STREAM))
         await self._end()
         return True
@@ -98,10 +98,10 @@
     def _select(self, events: list[StreamEvent]) -> tuple[bytes, str]:
         chosen: list[bytes] = []
         for event in events:
-            verdict = self.order.judge(event.index)
-            if verdict is Verdict.DROP:
+            verdict = self.order.classify(event.index)
+            if verdict is EventAction.DROP:
                 continue
-            if verdict is Verdict.GAP:
+            if verdict is EventAction.GAP:
                 return b''.join(chosen), f'event {event.index} came too early'
             if event.data == END_OF_STREAM:
                 if not self.transcript.finished:
@@ -109,7 +109,7 @@
                 self.complete = True
                 chosen.append(_frame(END_OF_STREAM))
                 continue
-            data = self.transcript.take(event)
+            data = self.transcript.add_event(event)
             if data is not None:
                 chosen.append(_frame(data))
         self.usage = self.transcript.usage
--- a/src/lifttrestle/internal/stream/order.py
+++ b/src/lifttrestle/internal/stream/order.py
@@ -17,7 +17,7 @@
 from lifttrestle.internal.stream.event import NO_INDEX
 
 
-class Verdict(enum.Enum):
+class EventAction(enum.Enum):
     """What to do with an event."""
 
     FORWARD = 'forward'
@@ -46,14 +46,14 @@
         """Return whether the events carry an index."""
         return self._indexed
 
-    def judge(self, index: int) -> Verdict:
+    def classify(self, index: int) -> EventAction:
         """Return what to do with an event of this index."""
         if index == NO_INDEX:
-            return Verdict.GAP if self._indexed else Verdict.FORWARD
+            return EventAction.GAP if self._indexed else EventAction.FORWARD
         self._indexed = True
         if index < self._next:
-            return Verdict.DROP
+            return EventAction.DROP
         if index > self._next:
-            return Verdict.GAP
+            return EventAction.GAP
         self._next += 1
-        return Verdict.FORWARD
+        return EventAction.FORWARD
--- a/src/lifttrestle/internal/stream/transcript.py
+++ b/src/lifttrestle/internal/stream/transcript.py
@@ -96,7 +96,7 @@
         """Expect the rest of the answer from another generation."""
         self.carried_tokens = self.tokens
 
-    def take(self, event: StreamEvent) -> bytes | None:
+    def add_event(self, event: StreamEvent) -> bytes | None:
         """Note an event and return the data to forward, if any.
 
         :raises ValueError: if the event is not a chunk of an answer.
@@ -115,7 +115,7 @@
             return event.data
         return self._rewrite(event.data)
 
-    def build_finish(self) -> bytes:
+    def build_final_chunk(self) -> bytes:
         """Return the chunk that ends a text at the caller's limit."""
         choice: dict[str, object] = {'index': 0, 'finish_reason': 'length'}
         frame = self.first_frame or {}
--- a/tests/cover/test_limit_memory.py
+++ b/tests/cover/test_limit_memory.py
@@ -180,7 +180,7 @@
         limits = self.design.limits[3]
         upstream = self.design.get_upstream(3, 0)
         faults = []
-        limits._refusals.note = lambda *fields: faults.append(fields)
+        limits._refusals.report = lambda *fields: faults.append(fields)
         for _ in range(3):
             limits.note_answer(
                 upstream, ReportedLimit(fault=ValueError('x')), 0
