--- a/src/lifttrestle/internal/intake/__init__.py
+++ b/src/lifttrestle/internal/intake/__init__.py
@@ -10,4 +10,4 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Data of other writers, taken in with a reason where it is refused."""
+"""Decoding and refusal of data that other processes have written."""
--- a/src/lifttrestle/internal/intake/decoding.py
+++ b/src/lifttrestle/internal/intake/decoding.py
@@ -10,11 +10,11 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Decodes data of other writers into typed messages.
+"""Decodes data that other processes have written into typed messages.
 
-Whatever the bytes are, the outcome is a message or ``InputRefused``: a
-decoder's own errors differ by format, and deep nesting raises one
-(``RecursionError``) that no reader of a table expects.
+Invalid data always raises ``InputRefused``. The errors of the decoders differ
+by format, and deep nesting raises ``RecursionError``, which the readers of
+tables don't handle.
 """
 
 from collections.abc import Callable
@@ -31,23 +31,25 @@
 def decode_json(
     data: bytes, model: type[T], max_bytes: int | None = None
 ) -> T:
-    """Return the message that JSON holds.
+    """Return the message that is encoded as JSON.
 
-    :param max_bytes: longer data is refused unread.
-    :raises InputRefused: if it holds no such message.
+    :param model: type of the message.
+    :param max_bytes: longer data is refused without being decoded.
+    :raises InputRefused: if the data is not a valid message of this type.
     """
     if max_bytes is not None and len(data) > max_bytes:
         raise InputRefused(
             InputFault.TOO_LONG,
-            f'{len(data)} bytes are over the {max_bytes} that it may have',
+            f'{len(data)} bytes exceed the limit of {max_bytes} bytes',
         )
     return _decode(lambda: msgspec.json.decode(data, type=model))
 
 
 def decode_msgpack(data: bytes, model: type[T]) -> T:
-    """Return the message that MessagePack holds.
+    """Return the message that is encoded as MessagePack.
 
-    :raises InputRefused: if it holds no such message.
+    :param model: type of the message.
+    :raises InputRefused: if the data is not a valid message of this type.
     """
     return _decode(lambda: msgspec.msgpack.decode(data, type=model))
 
--- a/src/lifttrestle/internal/intake/fault.py
+++ b/src/lifttrestle/internal/intake/fault.py
@@ -10,13 +10,16 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Why data of another writer can't be used."""
+"""Reasons for which data of another process is refused."""
 
 import enum
 
 
 class InputFault(enum.Enum):
-    """The closed list of reasons; each is a label of a metric."""
+    """Reason of a refusal.
+
+    The values are labels of a metric, so the list is closed.
+    """
 
     TOO_LONG = 'too long'
     TOO_DEEP = 'too deep'
--- a/src/lifttrestle/internal/intake/refusals.py
+++ b/src/lifttrestle/internal/intake/refusals.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Tells of data of other writers that is refused."""
+"""Logs and counts refused data of other processes."""
 
 from collections.abc import Callable
 
@@ -21,26 +21,29 @@
 LOG = get_event_log('intake')
 
 
-def _count_nowhere(source: str, fault: str) -> None:
-    """Count nothing: there are no metrics."""
+def _discard_count(source: str, fault: str) -> None:
+    """Discard the count of a process that has no metrics."""
 
 
 class InputRefusals:
-    """Writes one log line and counts one for each piece that is refused.
+    """Logs and counts each refused row or message.
 
-    :param count: is called with the source and the fault's name.
+    :param count: called with the source and the value of the fault.
     """
 
     def __init__(
-        self, count: Callable[[str, str], None] = _count_nowhere
+        self, count: Callable[[str, str], None] = _discard_count
     ) -> None:
         self._count = count
 
     def report(self, source: str, key: str, error: ValueError) -> None:
-        """Tell of a refused piece.
+        """Log and count a refused row or message.
 
-        :param source: the table or the kind of message, from a short list.
-        :param key: the row's key, or who sent the message.
+        :param source: the table or the kind of message. It labels a metric,
+            so its values must be few.
+        :param key: key of the row, or address of the sender.
+        :param error: the reason; other errors than ``InputRefused`` count as
+            a fault of a field.
         """
         fault = InputFault.FIELD
         if isinstance(error, InputRefused):
--- a/src/lifttrestle/internal/refusal/answers.py
+++ b/src/lifttrestle/internal/refusal/answers.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""The one table from an error kind to the HTTP answer that reports it."""
+"""Maps each error kind to the HTTP answer that reports it."""
 
 import dataclasses
 
@@ -22,9 +22,10 @@
     """How one error kind is answered.
 
     :ivar status: the HTTP status code.
-    :ivar retryable: whether asking again can help; it sets the header that
-        client libraries of the chat and completion API obey.
-    :ivar remedy: a sentence that tells the reader what to do.
+    :ivar retryable: whether a retry can succeed; sets the header
+        ``x-should-retry``, which client libraries of the chat and completion
+        API follow.
+    :ivar remedy: a sentence that tells the client what to do.
     """
 
     status: int
@@ -103,8 +104,8 @@
     ErrorKind.UPSTREAM_FAILED: AnswerRule(
         502, False, 'Check the outcome before you send it again.'
     ),
-    # A status that promises that this try has not run. A 4xx would say that
-    # the request is at fault, which nobody knows of one that was wronged.
+    # 503 guarantees that this attempt has not run. A 4xx would state that the
+    # request is at fault, but it may have been held without being the cause.
     ErrorKind.CRASHES_UPSTREAMS: AnswerRule(
         503,
         False,
--- a/src/lifttrestle/internal/refusal/body.py
+++ b/src/lifttrestle/internal/refusal/body.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""The JSON body and the headers that report a refusal."""
+"""Builds the JSON body and the headers that report a refusal."""
 
 import math
 
@@ -26,7 +26,7 @@
     """Return the HTTP answer for a refused request.
 
     :param refused: the refusal, with its kind and whether the request ran.
-    :param request_id: the id that the decision log carries as well.
+    :param request_id: the id under which the decision log lists the request.
     """
     rule = ANSWER_RULES[refused.kind]
     retryable = rule.retryable and refused.ran is Execution.NOT_RUN
--- a/src/lifttrestle/internal/refusal/execution.py
+++ b/src/lifttrestle/internal/refusal/execution.py
@@ -10,25 +10,25 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""What the router knows about whether a request reached an upstream."""
+"""Whether a request was executed, as far as the router knows."""
 
 import enum
 
 
 class Execution(enum.Enum):
-    """Whether the request ran; the value stands in the error body."""
+    """Whether the request ran; the value is part of the error body."""
 
     NOT_RUN = 'not run'
     UNKNOWN = 'unknown'
     RAN = 'ran'
 
 
-def combine_executions(told: Execution, known: Execution) -> Execution:
-    """Return the statement that promises less.
+def combine_executions(stated: Execution, known: Execution) -> Execution:
+    """Return the weaker of two statements on whether a request ran.
 
-    :param told: what the code that refused the request says.
-    :param known: what the state of the request allows to be said.
+    :param stated: the statement of the code that refused the request.
+    :param known: the statement that the state of the request supports.
     """
-    if told is Execution.NOT_RUN:
+    if stated is Execution.NOT_RUN:
         return known
-    return told
+    return stated
--- a/src/lifttrestle/internal/refusal/kind.py
+++ b/src/lifttrestle/internal/refusal/kind.py
@@ -10,13 +10,13 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""The closed list of reasons for which a request is not answered in full."""
+"""Closed list of reasons for which a request is not answered in full."""
 
 import enum
 
 
 class ErrorKind(enum.Enum):
-    """One member for each kind of error that a caller or operator can see.
+    """Kind of an error that is reported to a caller or an operator.
 
     The value is the machine-readable ``code`` of the JSON error body.
     """
--- a/src/lifttrestle/internal/stream/event.py
+++ b/src/lifttrestle/internal/stream/event.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""One server-sent event."""
+"""Server-sent event of a stream."""
 
 import dataclasses
 
@@ -19,7 +19,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class StreamEvent:
-    """The data of an event and its index, ``NO_INDEX`` if it has none."""
+    """A parsed server-sent event.
+
+    :ivar index: the event's ``id`` as a number, ``NO_INDEX`` if it has none.
+    :ivar data: the joined lines of its ``data`` fields.
+    """
 
     index: int
     data: bytes
--- a/src/lifttrestle/internal/stream/order.py
+++ b/src/lifttrestle/internal/stream/order.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Decides what to do with the next event of a stream by its index."""
+"""Detects repeated and missing events of a stream by their index."""
 
 import enum
 
@@ -18,7 +18,11 @@
 
 
 class EventAction(enum.Enum):
-    """What to do with an event."""
+    """What to do with an event.
+
+    ``GAP`` means that an earlier event is missing, or that an event without
+    an index follows one with an index.
+    """
 
     FORWARD = 'forward'
     DROP = 'drop'
@@ -26,10 +30,10 @@
 
 
 class StreamOrder:
-    """Lets each index of a stream through once, in order.
+    """Passes each index of a stream once, in ascending order from 0.
 
-    A stream whose events carry no index is let through as it comes; what is
-    lost of it cannot be seen, and it cannot be resumed.
+    A stream whose events carry no index is forwarded unchanged; lost events
+    are not detected, and the stream cannot be resumed.
     """
 
     def __init__(self) -> None:
@@ -38,12 +42,12 @@
 
     @property
     def last_index(self) -> int:
-        """Return the index of the last event let through, or -1."""
+        """Return the index of the last forwarded event, or -1."""
         return self._next - 1
 
     @property
     def indexed(self) -> bool:
-        """Return whether the events carry an index."""
+        """Return whether any event so far carried an index."""
         return self._indexed
 
     def classify(self, index: int) -> EventAction:
--- a/src/lifttrestle/internal/stream/parser.py
+++ b/src/lifttrestle/internal/stream/parser.py
@@ -20,22 +20,23 @@
 
 
 class StreamParser:
-    """Keeps an incomplete event until the rest of it arrives."""
+    """Incremental parser that buffers an incomplete event."""
 
     def __init__(self) -> None:
-        self._rest = b''
+        self._buffer = b''
 
     def feed(self, data: bytes) -> list[StreamEvent]:
         """Return the events that ``data`` completes.
 
-        :raises UpstreamLost: if one event grows past its bound.
+        :raises UpstreamLost: if an incomplete event is longer than
+            ``MAX_EVENT_BYTES``.
         """
-        text = (self._rest + data).replace(b'\r\n', b'\n')
+        text = (self._buffer + data).replace(b'\r\n', b'\n')
         blocks = text.split(b'\n\n')
-        self._rest = blocks.pop()
-        if len(self._rest) > MAX_EVENT_BYTES:
+        self._buffer = blocks.pop()
+        if len(self._buffer) > MAX_EVENT_BYTES:
             raise UpstreamLost(
-                f'an event of the stream is over {MAX_EVENT_BYTES} bytes'
+                f'a stream event is longer than {MAX_EVENT_BYTES} bytes'
             )
         parsed = (_parse_block(block) for block in blocks)
         return [event for event in parsed if event is not None]
--- a/src/lifttrestle/internal/stream/transcript.py
+++ b/src/lifttrestle/internal/stream/transcript.py
@@ -10,10 +10,10 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""What of a stream has been delivered, so that it can be continued.
+"""Tracks the delivered part of a stream, so that it can be continued.
 
-A continuation comes from another generation, with ids and counts of its own.
-They are rewritten so that the caller sees one answer.
+A continuation is another generation with its own ids and token counts. They
+are rewritten so that the caller sees a single answer.
 """
 
 import dataclasses
@@ -28,13 +28,13 @@
 
 
 class Delta(msgspec.Struct):
-    """The new part of a chat answer."""
+    """The increment of a chat answer."""
 
     content: str | None = None
 
 
 class ChunkChoice(msgspec.Struct):
-    """The part of a choice that delivery depends on."""
+    """The fields of a choice that the transcript uses."""
 
     finish_reason: str | None = None
     text: str | None = None
@@ -42,7 +42,7 @@
 
 
 class TokenDetails(msgspec.Struct):
-    """How much of a prompt was cached."""
+    """Breakdown of the token count of a prompt."""
 
     cached_tokens: int | None = None
 
@@ -56,13 +56,13 @@
 
     @property
     def cached_tokens(self) -> int:
-        """Return the cached tokens of the prompt, 0 if not told."""
+        """Return the cached tokens of the prompt, 0 if not reported."""
         details = self.prompt_tokens_details
         return (details.cached_tokens or 0) if details else 0
 
 
 class Chunk(msgspec.Struct):
-    """The part of a streamed chunk that delivery depends on."""
+    """The fields of a streamed chunk that the transcript uses."""
 
     choices: list[ChunkChoice] = []
     usage: Usage | None = None
@@ -77,6 +77,11 @@
     """The delivered part of one stream.
 
     :param wants_usage: whether the caller asked for the token counts.
+    :ivar tokens: number of delivered chunks with text, counted as tokens.
+    :ivar finished: whether a choice reported its finish reason.
+    :ivar usage: the last token counts that were received.
+    :ivar envelope: id, object, created and model of the first chunk.
+    :ivar prior_tokens: tokens delivered before the present continuation.
     """
 
     wants_usage: bool
@@ -84,8 +89,8 @@
     tokens: int = 0
     finished: bool = False
     usage: Usage | None = None
-    first_frame: dict[str, object] | None = None
-    carried_tokens: int = 0
+    envelope: dict[str, object] | None = None
+    prior_tokens: int = 0
 
     @property
     def text(self) -> str:
@@ -93,39 +98,40 @@
         return self.delivered.getvalue()
 
     def begin_continuation(self) -> None:
-        """Expect the rest of the answer from another generation."""
-        self.carried_tokens = self.tokens
+        """Treat further events as a continuation by another generation."""
+        self.prior_tokens = self.tokens
 
     def add_event(self, event: StreamEvent) -> bytes | None:
-        """Note an event and return the data to forward, if any.
+        """Record an event and return the data to forward, if any.
 
-        :raises ValueError: if the event is not a chunk of an answer.
+        :raises ValueError: if the event is not a chunk of an answer, or if
+            it reports an error.
         """
         chunk = CHUNK_DECODER.decode(event.data)
         if chunk.error is not None:
-            raise ValueError('the engine reports an error within the stream')
-        if self.first_frame is None:
-            self.first_frame = _read_frame(event.data)
-        self._note_choices(chunk)
+            raise ValueError('the engine reported an error within the stream')
+        if self.envelope is None:
+            self.envelope = _read_envelope(event.data)
+        self._record_choices(chunk)
         if chunk.usage is not None:
             self.usage = chunk.usage
             if not self.wants_usage and not chunk.choices:
                 return None
-        if not self.carried_tokens:
+        if not self.prior_tokens:
             return event.data
         return self._rewrite(event.data)
 
     def build_final_chunk(self) -> bytes:
-        """Return the chunk that ends a text at the caller's limit."""
+        """Return the chunk that ends an answer at the caller's token limit."""
         choice: dict[str, object] = {'index': 0, 'finish_reason': 'length'}
-        frame = self.first_frame or {}
-        if frame.get('object') == CHAT_CHUNK:
+        envelope = self.envelope or {}
+        if envelope.get('object') == CHAT_CHUNK:
             choice['delta'] = {}
         else:
             choice['text'] = ''
-        return msgspec.json.encode({**frame, 'choices': [choice]})
+        return msgspec.json.encode({**envelope, 'choices': [choice]})
 
-    def _note_choices(self, chunk: Chunk) -> None:
+    def _record_choices(self, chunk: Chunk) -> None:
         for choice in chunk.choices:
             content = choice.text
             if choice.delta is not None:
@@ -138,19 +144,19 @@
 
     def _rewrite(self, data: bytes) -> bytes:
         content = msgspec.json.decode(data)
-        content.update(self.first_frame or {})
+        content.update(self.envelope or {})
         for choice in content.get('choices') or ():
             delta = choice.get('delta')
             if delta:
                 delta.pop('role', None)
         usage = content.get('usage')
         if usage:
-            usage['prompt_tokens'] -= self.carried_tokens
-            usage['completion_tokens'] += self.carried_tokens
+            usage['prompt_tokens'] -= self.prior_tokens
+            usage['completion_tokens'] += self.prior_tokens
         return msgspec.json.encode(content)
 
 
-def _read_frame(data: bytes) -> dict[str, object]:
+def _read_envelope(data: bytes) -> dict[str, object]:
     content = msgspec.json.decode(data)
     return {
         key: content[key]
