--- a/src/lifttrestle/internal/fleet/state/operator_view.py
+++ b/src/lifttrestle/internal/fleet/state/operator_view.py
@@ -85,7 +85,7 @@
             catalogue = self._format.decode_catalogue(row.key, row.value)
             target = self._format.decode_target_weights(row.key, row.value)
         except ValueError as error:
-            self._refusals.note('operator', row.key, error)
+            self._refusals.report('operator', row.key, error)
             return
         if catalogue is not None:
             self._replace_catalogue(catalogue)
@@ -103,7 +103,7 @@
             return
         self.catalogue = catalogue
         for fault in catalogue.faults:
-            self._refusals.note('operator', 'configuration', fault)
+            self._refusals.report('operator', 'configuration', fault)
         LOG.info('view.applied', version=catalogue.version)
 
     def _add_target(self, model: str, version: int) -> None:
--- a/src/lifttrestle/internal/refusal/body.py
+++ b/src/lifttrestle/internal/refusal/body.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""The JSON body and the headers that report a refusal."""
+"""Builds the JSON body and the headers that report a refusal."""
 
 import math
 
@@ -18,7 +18,7 @@
 
 from lifttrestle.errors import RequestRefused
 from lifttrestle.internal.http.answer import Answer
-from lifttrestle.internal.refusal.answers import ANSWERS
+from lifttrestle.internal.refusal.answers import ANSWER_RULES
 from lifttrestle.internal.refusal.execution import Execution
 
 
@@ -26,9 +26,9 @@
     """Return the HTTP answer for a refused request.
 
     :param refused: the refusal, with its kind and whether the request ran.
-    :param request_id: the id that the decision log carries as well.
+    :param request_id: the id under which the decision log lists the request.
     """
-    rule = ANSWERS[refused.kind]
+    rule = ANSWER_RULES[refused.kind]
     retryable = rule.retryable and refused.ran is Execution.NOT_RUN
     error: dict[str, object] = {
         'message': refused.message,
--- a/tests/cover/test_listed_vms.py
+++ b/tests/cover/test_listed_vms.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""A VM list that lags: never listed is new, not gone."""
+"""Tests that a VM counts as gone only after it was listed."""
 
 import unittest
 
@@ -27,4 +27,4 @@
         self.assertFalse(listed.is_gone('b'))
         listed.update({'a', 'b'})
         self.assertFalse(listed.is_gone('a'))
-        self.assertTrue(listed.is_known('a'))
+        self.assertTrue(listed.was_listed('a'))
