--- a/src/lifttrestle/internal/standin/engine.py
+++ b/src/lifttrestle/internal/standin/engine.py
@@ -10,10 +10,11 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""A stand-in for a model engine, with the published interface of one.
+"""A stand-in for a model engine, serving the engine's published API.
 
-Beside the chat and completion API it has the unpublished calls that the
-router's driver needs: state, resume, cancel, drain and fenced orders.
+In addition to the chat and completion API, it serves the unpublished endpoints
+that the router's engine driver needs: state, resume, cancel, drain and orders
+with fencing numbers.
 """
 
 import uuid
@@ -24,24 +25,28 @@
 from lifttrestle.internal.http.answer import Answer
 from lifttrestle.internal.http.head import RequestHead
 from lifttrestle.internal.http.server_connection import ServerConnection
-from lifttrestle.internal.standin.engine_answers import CHAT
-from lifttrestle.internal.standin.engine_runs import EngineRuns
+from lifttrestle.internal.standin.engine_answers import CHAT_PATH
+from lifttrestle.internal.standin.engine_runs import EngineRunner
 from lifttrestle.internal.standin.engine_sending import EngineSender
 from lifttrestle.internal.standin.engine_settings import EngineSettings
 from lifttrestle.internal.standin.server import send_json
 from lifttrestle.internal.standin.server import StandinServer
 
-COMPLETIONS = '/v1/completions'
-STREAMS = '/lifttrestle/streams/'
-CONTEXT_TOKENS = 200_000
+COMPLETIONS_PATH = '/v1/completions'
+STREAMS_PATH = '/lifttrestle/streams/'
+MAX_CONTEXT_TOKENS = 200_000
 
 
 class EngineStandin:
-    """Takes calls: generations, kept streams, reports and orders."""
+    """Serves the HTTP API of an engine and generates text for it.
+
+    :param settings: size, speed and models of the engine.
+    :param clock: ages the blocks of the prefix cache.
+    """
 
     def __init__(self, settings: EngineSettings, clock: Clock) -> None:
         self._settings = settings
-        self._runs = EngineRuns(settings, clock)
+        self._runner = EngineRunner(settings, clock)
         self._incarnation = uuid.uuid4().hex
         self._draining = False
         self._fencing = 0
@@ -54,20 +59,20 @@
     async def _handle(
         self, connection: ServerConnection, head: RequestHead, body: bytes
     ) -> None:
-        if head.path in (CHAT, COMPLETIONS):
+        if head.path in (CHAT_PATH, COMPLETIONS_PATH):
             await self._generate(connection, head, body)
             return
-        if head.path.startswith(STREAMS):
-            await self._serve_kept(connection, head)
+        if head.path.startswith(STREAMS_PATH):
+            await self._serve_stream(connection, head)
             return
         handlers = {
-            '/health': self._tell_health,
-            '/metrics': self._tell_metrics,
-            '/v1/models': self._tell_models,
-            '/lifttrestle/state': self._tell_state,
-            '/lifttrestle/orders': self._take_order,
+            '/health': self._send_health,
+            '/metrics': self._send_metrics,
+            '/v1/models': self._send_models,
+            '/lifttrestle/state': self._send_state,
+            '/lifttrestle/orders': self._apply_order,
             '/lifttrestle/drain': self._drain,
-            '/standin/counts': self._tell_counts,
+            '/standin/counts': self._send_counts,
         }
         handler = handlers.get(head.path)
         if handler is None:
@@ -83,25 +88,27 @@
         if self._draining:
             await self._refuse_draining(connection)
             return
-        if model not in self._runs.versions:
+        if model not in self._runner.versions:
             await _send_error(connection, head, 404, f'no model {model!r}')
             return
-        if int(request.get('max_tokens') or 0) > CONTEXT_TOKENS:
-            message = f'over {CONTEXT_TOKENS} tokens'
+        if int(request.get('max_tokens') or 0) > MAX_CONTEXT_TOKENS:
+            message = f'over {MAX_CONTEXT_TOKENS} tokens'
             await _send_error(connection, head, 400, message)
             return
-        stream = self._runs.start(head.path, request, model)
-        headers = self._sender.identify(stream, head)
+        stream = self._runner.start(head.path, request, model)
+        headers = self._sender.build_headers(stream, head)
         if request.get('stream'):
             await self._sender.send_events(connection, stream, headers, 0)
             return
-        await self._sender.send_whole(connection, head.path, stream, headers)
+        await self._sender.send_complete_answer(
+            connection, head.path, stream, headers
+        )
 
-    async def _serve_kept(
+    async def _serve_stream(
         self, connection: ServerConnection, head: RequestHead
     ) -> None:
-        stream_id = head.path.removeprefix(STREAMS)
-        stream = self._runs.get(stream_id)
+        stream_id = head.path.removeprefix(STREAMS_PATH)
+        stream = self._runner.get(stream_id)
         if stream is None:
             await send_json(connection, {'error': 'no such stream'}, 404)
             return
@@ -111,7 +118,7 @@
             await send_json(connection, {})
             return
         index = int(head.get_header('last-event-id', '-1')) + 1
-        headers = self._sender.identify(stream, head)
+        headers = self._sender.build_headers(stream, head)
         await self._sender.send_events(connection, stream, headers, index)
 
     async def _refuse_draining(self, connection: ServerConnection) -> None:
@@ -119,54 +126,54 @@
         headers = (('x-engine-draining', '1'),)
         await connection.send_answer(Answer(503, headers, body))
 
-    async def _tell_health(
+    async def _send_health(
         self, connection: ServerConnection, _body: bytes
     ) -> None:
         await connection.send_answer(Answer(200))
 
-    async def _tell_metrics(
+    async def _send_metrics(
         self, connection: ServerConnection, _body: bytes
     ) -> None:
         text = (
             '# TYPE vllm:num_requests_running gauge\n'
-            f'vllm:num_requests_running {self._runs.running}\n'
+            f'vllm:num_requests_running {self._runner.running}\n'
             '# TYPE vllm:num_requests_waiting gauge\n'
-            f'vllm:num_requests_waiting {self._runs.waiting}\n'
+            f'vllm:num_requests_waiting {self._runner.waiting}\n'
         )
         headers = (('content-type', 'text/plain; version=0.0.4'),)
         await connection.send_answer(Answer(200, headers, text.encode()))
 
-    async def _tell_models(
+    async def _send_models(
         self, connection: ServerConnection, _body: bytes
     ) -> None:
         data = [
-            {'id': name, 'object': 'model'} for name in self._runs.versions
+            {'id': name, 'object': 'model'} for name in self._runner.versions
         ]
         await send_json(connection, {'object': 'list', 'data': data})
 
-    async def _tell_state(
+    async def _send_state(
         self, connection: ServerConnection, _body: bytes
     ) -> None:
         state = {
             'incarnation': self._incarnation,
-            'versions': self._runs.versions,
+            'versions': self._runner.versions,
             'draining': self._draining,
-            'running': self._runs.running,
-            'waiting': self._runs.waiting,
+            'running': self._runner.running,
+            'waiting': self._runner.waiting,
         }
         await send_json(connection, state)
 
-    async def _tell_counts(
+    async def _send_counts(
         self, connection: ServerConnection, _body: bytes
     ) -> None:
         counts = {
-            'requests': self._runs.requests,
-            'computed_tokens': self._runs.computed_tokens,
-            'running': self._runs.running,
+            'requests': self._runner.requests,
+            'computed_tokens': self._runner.computed_tokens,
+            'running': self._runner.running,
         }
         await send_json(connection, counts)
 
-    async def _take_order(
+    async def _apply_order(
         self, connection: ServerConnection, body: bytes
     ) -> None:
         order = msgspec.json.decode(body)
@@ -176,7 +183,7 @@
             await send_json(connection, error, 409)
             return
         self._fencing = max(self._fencing, fencing)
-        self._runs.load(order['model'], order['version'])
+        self._runner.load(order['model'], order['version'])
         await send_json(connection, {'fencing': self._fencing})
 
     async def _drain(self, connection: ServerConnection, _body: bytes) -> None:
--- a/src/lifttrestle/internal/standin/engine_cache.py
+++ b/src/lifttrestle/internal/standin/engine_cache.py
@@ -21,28 +21,39 @@
 
 
 class EngineCache:
-    """Holds hashes of token blocks, chained from the start of a prompt."""
+    """Holds the hashes of cached token blocks, least recently used first.
 
-    def __init__(self, blocks: int, seconds: float, clock: Clock) -> None:
-        self._capacity = blocks
-        self._seconds = seconds
+    The hash of a block covers all blocks of the prompt up to and including
+    it, so that equal hashes mean equal prefixes.
+
+    :param capacity: number of blocks that fit.
+    :param ttl_seconds: how long an unused block stays cached.
+    :param clock: time of the last use of a block.
+    """
+
+    def __init__(
+        self, capacity: int, ttl_seconds: float, clock: Clock
+    ) -> None:
+        self._capacity = capacity
+        self._ttl_seconds = ttl_seconds
         self._clock = clock
         self._used_at: collections.OrderedDict[bytes, float] = (
             collections.OrderedDict()
         )
 
     def admit(self, salt: str, tokens: list[str]) -> int:
-        """Cache a prompt; return how many of its tokens were cached."""
-        chain = chain_blocks(salt, tokens)
+        """Cache a prompt; return how many of its tokens were cached before."""
+        hashes = hash_blocks(salt, tokens)
         now = self._clock.monotonic()
-        self._evict_old(now)
+        self._evict_expired(now)
         cached = 0
-        for block in chain:
+        for block in hashes:
             if block not in self._used_at:
                 break
             cached += BLOCK_TOKENS
-        # The end of a prompt goes before its start, which others may share.
-        for block in reversed(chain):
+        # Blocks at the end of a prompt are evicted before those at its start,
+        # which other prompts may share.
+        for block in reversed(hashes):
             self._used_at[block] = now
             self._used_at.move_to_end(block)
         while len(self._used_at) > self._capacity:
@@ -50,24 +61,27 @@
         return cached
 
     def clear(self) -> None:
-        """Forget everything, as new weights require."""
+        """Drop all blocks, which are invalid with other weights."""
         self._used_at.clear()
 
-    def _evict_old(self, now: float) -> None:
+    def _evict_expired(self, now: float) -> None:
         while self._used_at:
             block, used_at = next(iter(self._used_at.items()))
-            if now - used_at <= self._seconds:
+            if now - used_at <= self._ttl_seconds:
                 return
             del self._used_at[block]
 
 
-def chain_blocks(salt: str, tokens: list[str]) -> list[bytes]:
-    """Return one hash for each full block, each covering all before it."""
+def hash_blocks(salt: str, tokens: list[str]) -> list[bytes]:
+    """Return one SHA-256 hash for each full block of a prompt.
+
+    Each hash covers the salt and all tokens up to the end of its block.
+    """
     digest = hashlib.sha256(salt.encode()).digest()
-    chain = []
+    hashes = []
     full = len(tokens) - len(tokens) % BLOCK_TOKENS
     for start in range(0, full, BLOCK_TOKENS):
         block = ' '.join(tokens[start : start + BLOCK_TOKENS])
         digest = hashlib.sha256(digest + block.encode()).digest()
-        chain.append(digest)
-    return chain
+        hashes.append(digest)
+    return hashes
--- a/src/lifttrestle/internal/standin/engine_runs.py
+++ b/src/lifttrestle/internal/standin/engine_runs.py
@@ -10,7 +10,11 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""What an engine stand-in computes: a cache, slots and a steady pace."""
+"""Generations of an engine stand-in.
+
+Simulates a prefix cache, a limited number of slots, and prefill and decoding
+at constant rates.
+"""
 
 import asyncio
 import itertools
@@ -25,18 +29,20 @@
 from lifttrestle.internal.standin.engine_text import TextGenerator
 
 DEFAULT_MAX_TOKENS = 16
-KEPT_STREAMS = 256
+MAX_RETAINED_STREAMS = 256
 DONE = b'[DONE]'
 
 
-class EngineRuns:
-    """Generates streams and keeps the last ones.
+class EngineRunner:
+    """Runs generations and retains the latest streams.
 
-    :ivar versions: the version of the weights for each loaded model.
-    :ivar running: generations that hold a slot.
-    :ivar waiting: generations that wait for one.
-    :ivar requests: generations begun so far.
-    :ivar computed_tokens: of their prompts, those that were not cached.
+    :param settings: size, speed and models of the engine.
+    :param clock: ages the blocks of the prefix cache.
+    :ivar versions: version of the weights for each loaded model.
+    :ivar running: number of generations that hold a slot.
+    :ivar waiting: number of generations that wait for a slot.
+    :ivar requests: number of generations started.
+    :ivar computed_tokens: number of prompt tokens that were not cached.
     """
 
     def __init__(self, settings: EngineSettings, clock: Clock) -> None:
@@ -46,7 +52,7 @@
         )
         self._slots = asyncio.Semaphore(settings.slots)
         self._streams: dict[str, EngineStream] = {}
-        self._numbers = itertools.count(1)
+        self._sequence = itertools.count(1)
         self.versions = dict(settings.versions)
         self.running = 0
         self.waiting = 0
@@ -54,18 +60,23 @@
         self.computed_tokens = 0
 
     def load(self, model: str, version: str) -> None:
-        """Take other weights, which empties the cache."""
+        """Load other weights, which empties the prefix cache."""
         self.versions[model] = version
         self._cache.clear()
 
     def get(self, stream_id: str) -> EngineStream | None:
-        """Return a stream that is still kept."""
+        """Return a stream, or None if it is not retained any more."""
         return self._streams.get(stream_id)
 
     def start(
         self, path: str, request: dict[str, object], model: str
     ) -> EngineStream:
-        """Begin a generation by a loaded model."""
+        """Start a generation by a loaded model.
+
+        :param path: path of the request, which selects the answer's format.
+        :param request: decoded body of the request.
+        :raises KeyError: if the model is not loaded.
+        """
         self.requests += 1
         text = render_prompt(request)
         tokens = text.split()
@@ -73,10 +84,10 @@
         version = self.versions[model]
         cached = self._cache.admit(f'{model}\0{version}\0{salt}', tokens)
         self.computed_tokens += len(tokens) - cached
-        stream_id = f'cmpl-{self._settings.name}-{next(self._numbers)}'
+        stream_id = f'cmpl-{self._settings.name}-{next(self._sequence)}'
         stream = EngineStream(stream_id, model, version, len(tokens), cached)
         self._streams[stream_id] = stream
-        while len(self._streams) > KEPT_STREAMS:
+        while len(self._streams) > MAX_RETAINED_STREAMS:
             self._streams.pop(next(iter(self._streams)))
         stream.task = asyncio.create_task(
             self._run_stream(path, request, stream, text)
@@ -96,9 +107,9 @@
             self.waiting -= 1
             self.running += 1
             try:
-                missing = stream.prompt_tokens - stream.cached_tokens
+                uncached_tokens = stream.prompt_tokens - stream.cached_tokens
                 await asyncio.sleep(
-                    missing / settings.prefill_tokens_per_second
+                    uncached_tokens / settings.prefill_tokens_per_second
                 )
                 await self._decode(path, request, stream, text)
             finally:
@@ -112,13 +123,15 @@
         stream: EngineStream,
         text: str,
     ) -> None:
-        limit = request.get('max_completion_tokens')
-        limit = limit or request.get('max_tokens') or DEFAULT_MAX_TOKENS
+        max_tokens = request.get('max_completion_tokens')
+        max_tokens = (
+            max_tokens or request.get('max_tokens') or DEFAULT_MAX_TOKENS
+        )
         weights = f'{stream.model}\0{stream.version}'
-        stops = not request.get('ignore_eos')
-        generator = TextGenerator(weights, text, stops)
+        can_stop = not request.get('ignore_eos')
+        generator = TextGenerator(weights, text, can_stop)
         stream.finish_reason = 'length'
-        for _ in range(int(limit)):  # type: ignore[call-overload]
+        for _ in range(int(max_tokens)):  # type: ignore[call-overload]
             word = generator.next_word()
             if word is None:
                 stream.finish_reason = 'stop'
--- a/src/lifttrestle/internal/standin/engine_sending.py
+++ b/src/lifttrestle/internal/standin/engine_sending.py
@@ -10,33 +10,37 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Sends an engine stand-in's streams, with the faults that were ordered."""
+"""Sends the streams of an engine stand-in, with fault injection."""
 
 import asyncio
 
 from lifttrestle.internal.http.answer import Answer
 from lifttrestle.internal.http.head import RequestHead
 from lifttrestle.internal.http.server_connection import ServerConnection
-from lifttrestle.internal.standin.engine_answers import encode_whole
+from lifttrestle.internal.standin.engine_answers import encode_complete_answer
 from lifttrestle.internal.standin.engine_stream import EngineStream
 from lifttrestle.internal.standin.server import StandinServer
 
 
 class EngineSender:
-    """Answers with streams.
+    """Sends streams as answers.
 
-    :param server: tells which faults are ordered.
-    :param incarnation: of the engine, told with each answer.
+    :param server: holds the faults to inject.
+    :param incarnation: ID of this start of the engine, sent in a header of
+        each answer.
     """
 
     def __init__(self, server: StandinServer, incarnation: str) -> None:
         self._server = server
         self._incarnation = incarnation
 
-    def identify(
+    def build_headers(
         self, stream: EngineStream, head: RequestHead
     ) -> list[tuple[str, str]]:
-        """Return the headers that say which run of which engine answers."""
+        """Return the headers that identify the engine, stream and request.
+
+        They contain a wrong request ID if that fault is set.
+        """
         headers = [
             ('x-engine-incarnation', self._incarnation),
             ('x-engine-version', stream.version),
@@ -57,7 +61,10 @@
         headers: list[tuple[str, str]],
         index: int,
     ) -> None:
-        """Send the events from ``index`` on, until the stream ends."""
+        """Send the events from ``index`` on until the stream ends.
+
+        Stops early where a fault cuts or ends the stream.
+        """
         headers.append(('content-type', 'text/event-stream'))
         await connection.start_answer(200, tuple(headers))
         while True:
@@ -67,7 +74,7 @@
                 index += 1
             if stream.ended:
                 break
-            await stream.grown.wait()
+            await stream.changed.wait()
         await connection.end_answer()
 
     async def _send_event(
@@ -94,17 +101,17 @@
             await connection.send_part(data)
         return True
 
-    async def send_whole(
+    async def send_complete_answer(
         self,
         connection: ServerConnection,
         path: str,
         stream: EngineStream,
         headers: list[tuple[str, str]],
     ) -> None:
-        """Send the whole stream as one answer, once it has ended."""
+        """Wait until the stream has ended and send it as one answer."""
         while not stream.ended:
-            await stream.grown.wait()
-        body = encode_whole(path, stream)
+            await stream.changed.wait()
+        body = encode_complete_answer(path, stream)
         headers.append(('content-type', 'application/json'))
         if self._server.faults.halve_answers > 0:
             self._server.faults.halve_answers -= 1
--- a/src/lifttrestle/internal/standin/engine_settings.py
+++ b/src/lifttrestle/internal/standin/engine_settings.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""What an engine stand-in is told when it starts."""
+"""Settings of an engine stand-in."""
 
 import dataclasses
 
@@ -19,9 +19,16 @@
 class EngineSettings:
     """The size and speed of an engine stand-in.
 
-    :ivar versions: the version of the weights for each loaded model.
-    :ivar cache_blocks: cached blocks that fit; the oldest used go first.
-    :ivar cache_seconds: how long an unused block stays.
+    :ivar name: name of the engine, part of the IDs of its streams.
+    :ivar versions: version of the weights for each loaded model.
+    :ivar cache_blocks: number of blocks that fit into the prefix cache; the
+        least recently used ones are evicted first.
+    :ivar cache_seconds: how long an unused block stays cached.
+    :ivar slots: number of generations that run at the same time.
+    :ivar prefill_tokens_per_second: prefill rate for tokens not cached.
+    :ivar decode_seconds: time to generate one token.
+    :ivar checks_fencing: whether orders with a fencing number lower than an
+        earlier one are refused.
     """
 
     name: str
--- a/src/lifttrestle/internal/standin/engine_stream.py
+++ b/src/lifttrestle/internal/standin/engine_stream.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""One generation in an engine stand-in, kept so that it can be resumed."""
+"""One generation of an engine stand-in, retained so it can be resumed."""
 
 import asyncio
 import dataclasses
@@ -18,7 +18,14 @@
 
 @dataclasses.dataclass
 class EngineStream:
-    """The events of one generation; readers wait for further ones."""
+    """The events of one generation, which readers can wait for.
+
+    :ivar events: payloads of the server-sent events, by event index.
+    :ivar words: words generated so far.
+    :ivar ended: whether no further event follows.
+    :ivar changed: set at the next event or at the end; from then on, a new
+        asyncio event stands in its place.
+    """
 
     stream_id: str
     model: str
@@ -29,19 +36,19 @@
     words: list[str] = dataclasses.field(default_factory=list)
     finish_reason: str = ''
     ended: bool = False
-    grown: asyncio.Event = dataclasses.field(default_factory=asyncio.Event)
+    changed: asyncio.Event = dataclasses.field(default_factory=asyncio.Event)
     task: asyncio.Task[None] | None = None
 
     def add(self, event: bytes) -> None:
-        """Append an event and wake the readers."""
+        """Append an event and wake up the readers."""
         self.events.append(event)
-        self._wake()
+        self._notify()
 
     def end(self) -> None:
-        """Mark that no event follows."""
+        """Mark the stream as ended and wake up the readers."""
         self.ended = True
-        self._wake()
+        self._notify()
 
-    def _wake(self) -> None:
-        grown, self.grown = self.grown, asyncio.Event()
-        grown.set()
+    def _notify(self) -> None:
+        changed, self.changed = self.changed, asyncio.Event()
+        changed.set()
--- a/src/lifttrestle/internal/standin/engine_text.py
+++ b/src/lifttrestle/internal/standin/engine_text.py
@@ -10,10 +10,11 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""The text that an engine stand-in generates.
+"""Deterministic text generation of an engine stand-in.
 
-Each word is a function of the weights and of the whole text before it, so an
-answer continued elsewhere can be compared with one that never broke off.
+Each word is a function of the weights and of the whole text before it. This
+allows tests to compare an answer that another engine continued with an answer
+that was not interrupted.
 """
 
 import hashlib
@@ -23,41 +24,47 @@
     'letter strike chime pinion escapement square seven quiet morning train '
     'answer publisher pendulum weight hammer verge crown wheel arbor'
 ).split()
-# The model stops at about one word in four thousand.
-STOP_BELOW = 16
+# Of 65,536 values; the model stops at about one word in 4,000.
+STOP_THRESHOLD = 16
 
 
 def render_prompt(body: dict[str, object]) -> str:
-    """Return the text that the model reads for a request."""
+    """Return the prompt of a request as the model receives it.
+
+    Renders the messages of a chat request with a plain chat template.
+    """
     messages = body.get('messages')
     if not isinstance(messages, list):
         return str(body.get('prompt', ''))
-    open_end = bool(body.get('continue_final_message'))
+    continues_final = bool(body.get('continue_final_message'))
     lines = []
     for message in messages:
         lines.append(f'{message["role"]}: {message["content"]}')
     text = '\n'.join(lines)
-    if open_end:
+    if continues_final:
         return text
     return text + '\nassistant: '
 
 
 class TextGenerator:
-    """Makes the words after a text, one by one.
+    """Generates the words that follow a text, one by one.
 
     :param weights: the model and the version of its weights.
-    :param text: all that the model has read.
-    :param stops: whether the model may end by itself.
+    :param text: the prompt.
+    :param can_stop: whether the model may stop before the token limit.
     """
 
-    def __init__(self, weights: str, text: str, stops: bool) -> None:
-        self._stops = stops
+    def __init__(self, weights: str, text: str, can_stop: bool) -> None:
+        self._can_stop = can_stop
         self._digest = hashlib.sha256(f'{weights}\0{text}'.encode())
 
     def next_word(self) -> str | None:
-        """Return the next word, or None where the model stops."""
+        """Return the next word, or None if the model stops."""
         digest = self._digest.digest()
-        if self._stops and int.from_bytes(digest[1:3], 'big') < STOP_BELOW:
+        if (
+            self._can_stop
+            and int.from_bytes(digest[1:3], 'big') < STOP_THRESHOLD
+        ):
             return None
         word = WORDS[digest[0] % len(WORDS)] + ' '
         self._digest.update(word.encode())
--- a/src/lifttrestle/internal/standin/faults.py
+++ b/src/lifttrestle/internal/standin/faults.py
@@ -10,27 +10,36 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""The fault switches of a stand-in, set over HTTP by tests and the demo."""
+"""Fault injection for stand-ins, set over HTTP by tests and the demo."""
 
 import msgspec
 
 
 class Faults(msgspec.Struct, forbid_unknown_fields=True):
-    """What a stand-in does wrong, until it is told otherwise.
+    """The faults that a stand-in injects until they are set anew.
 
-    :ivar refuse: answer 503 without effect, for this many calls.
-    :ivar refuse_one_in: refuse every n-th call; 0 for none.
-    :ivar drop_answers: do the work, then cut the connection, this often.
-    :ivar delay_seconds: wait so long before the work.
-    :ivar cut_at_token: cut a stream before the token of this index.
-    :ivar cut_streams: how many streams ``cut_at_token`` may still cut.
+    Counts are decremented with each fault injected. A token index of -1
+    disables the fault.
+
+    :ivar refuse: number of requests to answer with 503 without executing
+        them.
+    :ivar refuse_one_in: refuse every n-th request; 0 for none.
+    :ivar drop_answers: number of requests to execute and then abort the
+        connection instead of sending an answer.
+    :ivar delay_seconds: delay before a request is executed.
+    :ivar cut_at_token: abort a stream before the token of this index.
+    :ivar cut_streams: how many streams ``cut_at_token``, ``end_at_token``
+        and ``stall_at_token`` may still affect.
     :ivar duplicate_token: send the token of this index twice.
-    :ivar skip_token: leave out the token of this index.
-    :ivar end_at_token: end a stream, as if whole, before this index.
-    :ivar truncate_answers: cut this many whole answers short.
-    :ivar halve_answers: send half of this many answers, as if whole.
-    :ivar stall_at_token: stop sending, silently, at this index.
-    :ivar wrong_request_ids: echo a foreign request id, this often.
+    :ivar skip_token: omit the token of this index, once.
+    :ivar end_at_token: end a stream before this index as if it were complete.
+    :ivar truncate_answers: number of answers without streaming to break off
+        halfway, below their content length.
+    :ivar halve_answers: number of answers of which to send only the first
+        half as if it were complete.
+    :ivar stall_at_token: stop sending at this index without closing the
+        connection.
+    :ivar wrong_request_ids: number of answers with another request's ID.
     """
 
     refuse: int = 0
--- a/src/lifttrestle/internal/standin/objects.py
+++ b/src/lifttrestle/internal/standin/objects.py
@@ -22,7 +22,7 @@
 
 
 class ObjectsStandin:
-    """Keeps bodies in memory, one under each path."""
+    """Stores the body of the last PUT of each path in memory."""
 
     def __init__(self) -> None:
         self._bodies: dict[str, bytes] = {}
--- a/src/lifttrestle/internal/standin/server.py
+++ b/src/lifttrestle/internal/standin/server.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""The frame that all stand-ins share: a server, routes, fault switches."""
+"""The HTTP server that all stand-ins share, with fault injection."""
 
 import asyncio
 import collections
@@ -34,37 +34,39 @@
 
 FAULTS_PATH = '/standin/faults'
 ARRIVALS_PATH = '/standin/arrivals'
-# Beside the paths: how many connections have carried a call.
-CONNECTIONS = '(connections)'
+# Key, beside the paths, of the number of connections that sent a request.
+CONNECTIONS_KEY = '(connections)'
 JSON_HEADERS = (('content-type', 'application/json'),)
 Handler = Callable[[ServerConnection, RequestHead, bytes], Awaitable[None]]
 
 
 class StandinServer:
-    """Serves one handler after the fault switches have had their say.
+    """Serves requests by a handler and injects the configured faults.
 
     :param handler: answers a request whose body was read.
-    :param free_paths: path prefixes to which no fault applies.
+    :param exempt_paths: path prefixes of requests without faults, which are
+        not counted as arrivals either.
+    :ivar faults: the faults to inject.
     """
 
     def __init__(
-        self, handler: Handler, free_paths: tuple[str, ...] = ()
+        self, handler: Handler, exempt_paths: tuple[str, ...] = ()
     ) -> None:
         self.faults = Faults()
         self._handler = handler
-        self._free_paths = free_paths
-        self._calls = 0
+        self._exempt_paths = exempt_paths
+        self._request_count = 0
         self._peers: set[str] = set()
         self._arrivals: collections.Counter[str] = collections.Counter()
         limits = HttpLimits(body_bytes=64 * 1024 * 1024, idle_seconds=3600)
         self._server = HttpServer(self._serve, limits)
 
     async def start(self, address: Address) -> Address:
-        """Listen and return the address in force."""
+        """Listen and return the address, with the port that was assigned."""
         return await self._server.start(address)
 
     async def stop(self) -> None:
-        """Stop at once."""
+        """Stop without waiting for open requests."""
         await self._server.stop(0)
 
     async def _serve(
@@ -79,24 +81,24 @@
             await self._set_faults(connection, body)
             return
         if head.path == ARRIVALS_PATH:
-            counts = {**self._arrivals, CONNECTIONS: len(self._peers)}
+            counts = {**self._arrivals, CONNECTIONS_KEY: len(self._peers)}
             await send_json(connection, counts)
             return
-        if head.path.startswith(self._free_paths or ('\0',)):
+        if head.path.startswith(self._exempt_paths or ('\0',)):
             await self._handler(connection, head, body)
             return
-        await self._serve_faulty(connection, head, body)
+        await self._serve_with_faults(connection, head, body)
 
-    async def _serve_faulty(
+    async def _serve_with_faults(
         self, connection: ServerConnection, head: RequestHead, body: bytes
     ) -> None:
         faults = self.faults
-        self._calls += 1
+        self._request_count += 1
         self._arrivals[head.path] += 1
         self._peers.add(connection.peer)
         if faults.delay_seconds:
             await asyncio.sleep(faults.delay_seconds)
-        if self._is_refused():
+        if self._must_refuse():
             refused = RequestRefused(
                 ErrorKind.OVERLOADED, 'the stand-in refuses this call'
             )
@@ -104,16 +106,16 @@
             return
         if faults.drop_answers > 0:
             faults.drop_answers -= 1
-            connection = _MuteConnection(connection)  # type: ignore
+            connection = _AbortingConnection(connection)  # type: ignore
         await self._handler(connection, head, body)
 
-    def _is_refused(self) -> bool:
+    def _must_refuse(self) -> bool:
         faults = self.faults
         if faults.refuse > 0:
             faults.refuse -= 1
             return True
-        every = faults.refuse_one_in
-        return every > 0 and self._calls % every == 0
+        interval = faults.refuse_one_in
+        return interval > 0 and self._request_count % interval == 0
 
     async def _set_faults(
         self, connection: ServerConnection, body: bytes
@@ -122,8 +124,8 @@
         await connection.send_answer(Answer(200, JSON_HEADERS, b'{}'))
 
 
-class _MuteConnection:
-    """Cuts the connection in place of an answer, after the work is done."""
+class _AbortingConnection:
+    """Aborts the connection instead of sending the handler's answer."""
 
     def __init__(self, connection: ServerConnection) -> None:
         self._connection = connection
@@ -141,17 +143,20 @@
 async def send_json(
     connection: ServerConnection, content: object, status: int = 200
 ) -> None:
-    """Answer with a JSON body."""
+    """Answer with ``content`` encoded as JSON."""
     body = msgspec.json.encode(content)
     await connection.send_answer(Answer(status, JSON_HEADERS, body))
 
 
 async def run_until_signal(name: str, server: StandinServer, at: str) -> None:
-    """Serve at ``IP:PORT`` until SIGTERM or SIGINT; print the address."""
+    """Serve at ``IP:PORT`` until SIGTERM or SIGINT.
+
+    Prints a line with the name and the address once the server listens.
+    """
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)
+    for signum in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signum, stop.set)
     address = await server.start(parse_address(at))
     print(f'ready: {name} {address}', flush=True)
     await stop.wait()
--- a/src/lifttrestle/internal/standin/service.py
+++ b/src/lifttrestle/internal/standin/service.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""A stand-in for a plain service that counts how often each key ran."""
+"""A stand-in for a plain service that counts executions by idempotency key."""
 
 import collections
 
@@ -21,15 +21,17 @@
 from lifttrestle.internal.standin.server import send_json
 from lifttrestle.internal.standin.server import StandinServer
 
-# Below it, a path names the length of the answer's body.
+# The rest of the path is the length of the answer's body in bytes.
 BYTES_PATH = '/bytes/'
 
 
 class ServiceStandin:
-    """Answers every request with what it saw.
+    """Answers every request with a description of the request.
 
-    ``GET /standin/runs`` tells how often each idempotency key ran: the
-    count is what proves that a request ran at most once.
+    ``GET /standin/runs`` returns how often each idempotency key was executed.
+    Tests use it to verify that a request was executed at most once.
+
+    :param name: name of the service, also sent as its incarnation.
     """
 
     def __init__(self, name: str) -> None:
@@ -54,11 +56,11 @@
             await send_json(connection, {})
             return
         if head.path == '/lifttrestle/state':
-            await send_json(connection, self._report())
+            await send_json(connection, self._build_state())
             return
         await self._run(connection, head, body)
 
-    def _report(self) -> dict[str, object]:
+    def _build_state(self) -> dict[str, object]:
         return {
             'incarnation': self._name,
             'versions': {},
--- a/src/lifttrestle/internal/standin/table.py
+++ b/src/lifttrestle/internal/standin/table.py
@@ -23,20 +23,20 @@
 from lifttrestle.internal.store.row import Transaction
 
 
-class ReadCall(msgspec.Struct):
-    """The body of a read."""
+class ReadRequest(msgspec.Struct):
+    """The body of a request for rows by key."""
 
     keys: tuple[str, ...]
 
 
-class ScanCall(msgspec.Struct):
-    """The body of a scan."""
+class ScanRequest(msgspec.Struct):
+    """The body of a request for all rows whose key has a prefix."""
 
     prefix: str
 
 
 class TableStandin:
-    """Keeps the rows in memory and counts the calls of each kind."""
+    """Stores rows in memory and counts the requests of each kind."""
 
     def __init__(self) -> None:
         self._table = MemoryTable()
@@ -50,7 +50,7 @@
             '/v1/read': self._read,
             '/v1/scan': self._scan,
             '/v1/transact': self._transact,
-            '/standin/counts': self._count,
+            '/standin/counts': self._send_counts,
         }
         handler = handlers.get(head.path)
         if handler is None:
@@ -60,14 +60,14 @@
 
     async def _read(self, connection: ServerConnection, body: bytes) -> None:
         self._counts['read'] += 1
-        call = msgspec.json.decode(body, type=ReadCall)
-        rows = await self._table.read(call.keys)
+        request = msgspec.json.decode(body, type=ReadRequest)
+        rows = await self._table.read(request.keys)
         await send_json(connection, {'rows': list(rows.values())})
 
     async def _scan(self, connection: ServerConnection, body: bytes) -> None:
         self._counts['scan'] += 1
-        call = msgspec.json.decode(body, type=ScanCall)
-        rows = await self._table.scan(call.prefix)
+        request = msgspec.json.decode(body, type=ScanRequest)
+        rows = await self._table.scan(request.prefix)
         await send_json(connection, {'rows': rows})
 
     async def _transact(
@@ -82,5 +82,7 @@
             return
         await send_json(connection, {'commit': commit})
 
-    async def _count(self, connection: ServerConnection, _body: bytes) -> None:
+    async def _send_counts(
+        self, connection: ServerConnection, _body: bytes
+    ) -> None:
         await send_json(connection, self._counts)
--- a/src/lifttrestle/internal/standin/vms.py
+++ b/src/lifttrestle/internal/standin/vms.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""A stand-in for the platform's VM list, set by ``PUT /v1/vms``."""
+"""A stand-in for the platform's VM list, set at ``/standin/vms``."""
 
 import msgspec
 
@@ -23,7 +23,10 @@
 
 
 class VmsStandin:
-    """Lists what it was told."""
+    """Serves a list of VMs.
+
+    :param vms: the list until another one is set.
+    """
 
     def __init__(self, vms: tuple[Vm, ...] = ()) -> None:
         self._vms = vms
--- a/tests/engine/test_engine_standin.py
+++ b/tests/engine/test_engine_standin.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""The engine stand-in, and the cost model of replay held against it."""
+"""The engine stand-in, and the cost model of replay compared with it."""
 
 import datetime
 import unittest
@@ -78,7 +78,7 @@
 
 
 class TestCostModel(unittest.TestCase):
-    """Replay's cache must hold what the stand-in's holds, within a block."""
+    """Replay's cache must match the stand-in's to within a block."""
 
     def test_caches_agree_under_pressure(self) -> None:
         clock = ManualClock(START)
@@ -87,7 +87,8 @@
         cached = {'stand-in': 0, 'model': 0}
         prompt_tokens = 0
         for number in range(400):
-            # Tenants of unlike size, sheets below them, questions of one use.
+            # Tenants of unequal load and their sheets share prefixes;
+            # questions are unique.
             tenant = (number * number) % 3
             sheet = (number * 7) % 5
             upper = [f't{tenant}-{item}' for item in range(96)]
@@ -117,7 +118,7 @@
         self.assertAlmostEqual(rates['model'], rates['stand-in'], delta=0.02)
 
     def test_defaults_are_those_of_the_settings(self) -> None:
-        # 8,000 prompt tokens a second is also an upstream's first guess.
+        # Also the initial estimate of an upstream: 8,000 prompt tokens/s.
         self.assertEqual(EngineCosts().prefill_tokens_per_second, 8000.0)
 
 
