--- a/tests/cover/test_refused_input.py
+++ b/tests/cover/test_refused_input.py
@@ -238,9 +238,7 @@
 
 
 class TestMessages(unittest.TestCase):
-    def test_deep_nesting_is_refused_like_anything_else_like_anything_else(
-        self,
-    ):
+    def test_deep_nesting_is_refused_like_anything_else(self):
         for decode, data, model in (
             (decode_json, DEEP, ReportRecord),
             (decode_msgpack, DEEP_PACKED, LoadReport),
