--- a/src/lifttrestle/internal/fleet/limits/memory.py
+++ b/src/lifttrestle/internal/fleet/limits/memory.py
@@ -132,7 +132,7 @@
         observation = LimitObservation(
             reported.rate, sent_at, self._clock.monotonic()
         )
-        if self._registry.observe(limit, observation, 'answer'):
+        if self._registry.observe(limit, observation, 'an answer'):
             self._replicator.queue_update(limit)
 
     def forget(self, upstream: FleetUpstream) -> None:
--- a/src/lifttrestle/internal/fleet/limits/registry.py
+++ b/src/lifttrestle/internal/fleet/limits/registry.py
@@ -159,7 +159,7 @@
             if self._is_recovered(limit, now) or limit.is_recovery_timed_out(
                 now
             ):
-                self.end_recovery(limit, 'recovery over')
+                self.end_recovery(limit, 'its recovery is over')
                 recovered.append(limit)
             if limit.is_expired(now):
                 del self._limits[limit.digest]
