--- a/src/lifttrestle/internal/fleet/path/exchange.py
+++ b/src/lifttrestle/internal/fleet/path/exchange.py
@@ -33,11 +33,11 @@
 from lifttrestle.internal.fleet.parts import FleetParts
 from lifttrestle.internal.fleet.path.answer_forwarding import AnswerForwarder
 from lifttrestle.internal.fleet.path.candidates import Candidates
-from lifttrestle.internal.fleet.path.decision_log import build_admitted_fields
-from lifttrestle.internal.fleet.path.decision_log import build_chosen_fields
-from lifttrestle.internal.fleet.path.decision_log import DecisionLog
-from lifttrestle.internal.fleet.path.decision_log import MILLISECONDS
 from lifttrestle.internal.fleet.path.dialect import RequestFacts
+from lifttrestle.internal.fleet.path.event_buffer import build_admitted_fields
+from lifttrestle.internal.fleet.path.event_buffer import build_chosen_fields
+from lifttrestle.internal.fleet.path.event_buffer import DecisionLog
+from lifttrestle.internal.fleet.path.event_buffer import MILLISECONDS
 from lifttrestle.internal.fleet.path.request_context import begin_request
 from lifttrestle.internal.fleet.path.request_context import RequestContext
 from lifttrestle.internal.fleet.path.request_digest import build_request_digest
--- a/src/lifttrestle/internal/fleet/path/request_context.py
+++ b/src/lifttrestle/internal/fleet/path/request_context.py
@@ -19,9 +19,9 @@
 from lifttrestle.internal.exchange.progress import RequestState
 from lifttrestle.internal.fleet.crashes.held_row import format_digest
 from lifttrestle.internal.fleet.parts import FleetParts
-from lifttrestle.internal.fleet.path.decision_log import build_usage_fields
-from lifttrestle.internal.fleet.path.decision_log import DecisionLog
 from lifttrestle.internal.fleet.path.dialect import RequestFacts
+from lifttrestle.internal.fleet.path.event_buffer import build_usage_fields
+from lifttrestle.internal.fleet.path.event_buffer import DecisionLog
 from lifttrestle.internal.fleet.policy.admission import admit
 from lifttrestle.internal.fleet.policy.admission import AdmittedRequest
 from lifttrestle.internal.fleet.policy.stopping import can_finish_in_time
--- a/src/lifttrestle/internal/fleet/path/sending.py
+++ b/src/lifttrestle/internal/fleet/path/sending.py
@@ -18,8 +18,8 @@
 from lifttrestle.internal.fleet.path.attempt import begin_attempt
 from lifttrestle.internal.fleet.path.attempt import UpstreamAnswer
 from lifttrestle.internal.fleet.path.candidates import Candidates
-from lifttrestle.internal.fleet.path.decision_log import build_answered_fields
 from lifttrestle.internal.fleet.path.dialect import UpstreamOrder
+from lifttrestle.internal.fleet.path.event_buffer import build_answered_fields
 from lifttrestle.internal.fleet.path.order_building import build_order
 from lifttrestle.internal.fleet.path.request_context import RequestContext
 from lifttrestle.internal.fleet.policy.admission import get_urgency
--- a/src/lifttrestle/internal/fleet/path/upstream_search.py
+++ b/src/lifttrestle/internal/fleet/path/upstream_search.py
@@ -16,7 +16,7 @@
 
 from lifttrestle.errors import RequestRefused
 from lifttrestle.internal.fleet.path.candidates import Candidates
-from lifttrestle.internal.fleet.path.decision_log import build_permit_fields
+from lifttrestle.internal.fleet.path.event_buffer import build_permit_fields
 from lifttrestle.internal.fleet.path.request_context import RequestContext
 from lifttrestle.internal.fleet.policy.placement import Placement
 from lifttrestle.internal.fleet.policy.shedding import decide_shedding
--- a/tests/cover/test_event_log.py
+++ b/tests/cover/test_event_log.py
@@ -30,7 +30,7 @@
 
 from lifttrestle.internal.clock.beat import Beat
 from lifttrestle.internal.clock.manual import ManualClock
-from lifttrestle.internal.fleet.path.decision_log import DecisionLog
+from lifttrestle.internal.fleet.path.event_buffer import DecisionLog
 from lifttrestle.internal.telemetry.event_log import get_event_log
 from lifttrestle.internal.telemetry.event_sink import BURST
 from lifttrestle.internal.telemetry.event_sink import EventSink
