--- a/src/lifttrestle/internal/fleet/path/event_buffer.py
+++ b/src/lifttrestle/internal/fleet/path/event_buffer.py
@@ -45,7 +45,7 @@
     fields: dict[str, object]
 
 
-class DecisionLog:
+class EventBuffer:
     """Buffers the steps of one request."""
 
     def __init__(self, clock: Clock, request_id: str) -> None:
--- a/src/lifttrestle/internal/fleet/path/exchange.py
+++ b/src/lifttrestle/internal/fleet/path/exchange.py
@@ -36,7 +36,7 @@
 from lifttrestle.internal.fleet.path.dialect import RequestFacts
 from lifttrestle.internal.fleet.path.event_buffer import build_admitted_fields
 from lifttrestle.internal.fleet.path.event_buffer import build_chosen_fields
-from lifttrestle.internal.fleet.path.event_buffer import DecisionLog
+from lifttrestle.internal.fleet.path.event_buffer import EventBuffer
 from lifttrestle.internal.fleet.path.event_buffer import MILLISECONDS
 from lifttrestle.internal.fleet.path.request_context import begin_request
 from lifttrestle.internal.fleet.path.request_context import RequestContext
@@ -78,7 +78,7 @@
         self._body = b''
         self._started = parts.clock.monotonic()
         self._progress = RequestProgress()
-        self._decision_log = DecisionLog(parts.clock, facts.request_id)
+        self._event_buffer = EventBuffer(parts.clock, facts.request_id)
         self._forwarder = AnswerForwarder(
             parts, connection, self._progress, facts.last_event
         )
@@ -119,7 +119,7 @@
             if self._request is not None and self._request.charge is not None:
                 self._request.charge.settle()
             service = self._request.service if self._request else ''
-            self._decision_log.write(
+            self._event_buffer.write(
                 outcome,
                 failed=failed,
                 service=service,
@@ -147,7 +147,7 @@
         request = begin_request(
             self._parts,
             self._facts,
-            self._decision_log,
+            self._event_buffer,
             self._progress,
             self._started,
         )
@@ -159,7 +159,7 @@
             request, self._head, self._body, self._forwarder, self._candidates
         )
         self._progress.apply(RequestEvent.ADMIT)
-        self._decision_log.add(
+        self._event_buffer.add(
             'admitted',
             **build_admitted_fields(
                 request.admitted,
@@ -175,7 +175,7 @@
             async with asyncio.timeout(request.get_remaining_seconds()):
                 await run_attempts(self)
         except TimeoutError:
-            self._decision_log.add('out_of_time')
+            self._event_buffer.add('out_of_time')
             raise RequestRefused(
                 ErrorKind.DEADLINE_EXCEEDED,
                 'the deadline of this request has passed',
@@ -198,7 +198,7 @@
         self._context.charge_usage()
         placement = await find_upstream(self._context, self._candidates)
         self._candidates.exclude(placement.upstream)
-        self._decision_log.add('chosen', **build_chosen_fields(placement))
+        self._event_buffer.add('chosen', **build_chosen_fields(placement))
         return placement
 
     async def attempt(self, chosen: Placement) -> None:
@@ -245,7 +245,7 @@
     ) -> None:
         kind = type(error).__name__
         self._parts.metrics.count_attempt(self._context.service, kind)
-        self._decision_log.add(
+        self._event_buffer.add(
             'attempt_failed',
             instance=upstream.instance,
             kind=kind,
@@ -311,7 +311,7 @@
         upstream.pool.give_back(connection)
 
     async def _refuse(self, refused: RequestRefused) -> None:
-        self._decision_log.add(
+        self._event_buffer.add(
             'refused',
             kind=refused.kind.value,
             reason=refused.message,
--- a/src/lifttrestle/internal/fleet/path/request_context.py
+++ b/src/lifttrestle/internal/fleet/path/request_context.py
@@ -21,7 +21,7 @@
 from lifttrestle.internal.fleet.parts import FleetParts
 from lifttrestle.internal.fleet.path.dialect import RequestFacts
 from lifttrestle.internal.fleet.path.event_buffer import build_usage_fields
-from lifttrestle.internal.fleet.path.event_buffer import DecisionLog
+from lifttrestle.internal.fleet.path.event_buffer import EventBuffer
 from lifttrestle.internal.fleet.policy.admission import admit
 from lifttrestle.internal.fleet.policy.admission import AdmittedRequest
 from lifttrestle.internal.fleet.policy.stopping import can_finish_in_time
@@ -61,7 +61,7 @@
     parts: FleetParts
     facts: RequestFacts
     admitted: AdmittedRequest
-    decision_log: DecisionLog
+    event_buffer: EventBuffer
     progress: RequestProgress
     started: float
     deadline: float
@@ -115,7 +115,7 @@
         facts = charge.admit()
         if facts is None:
             return
-        self.decision_log.add('usage', **build_usage_fields(facts))
+        self.event_buffer.add('usage', **build_usage_fields(facts))
         if facts.retry_seconds is not None:
             self.parts.metrics.count_over_cap(workspace.name)
             raise RequestRefused(
@@ -224,7 +224,7 @@
 def begin_request(
     parts: FleetParts,
     facts: RequestFacts,
-    decision_log: DecisionLog,
+    event_buffer: EventBuffer,
     progress: RequestProgress,
     started: float,
 ) -> RequestContext:
@@ -240,7 +240,7 @@
         parts,
         facts,
         admitted,
-        decision_log,
+        event_buffer,
         progress,
         started,
         started + seconds,
--- a/src/lifttrestle/internal/fleet/path/sending.py
+++ b/src/lifttrestle/internal/fleet/path/sending.py
@@ -209,7 +209,7 @@
         self, upstream: FleetUpstream, order: UpstreamOrder, reused: bool
     ) -> None:
         name = 'resumed' if self._forwarder.relay.started else 'sent'
-        self._request.decision_log.add(
+        self._request.event_buffer.add(
             name,
             instance=upstream.instance,
             address=upstream.entry.address,
--- a/src/lifttrestle/internal/fleet/path/upstream_search.py
+++ b/src/lifttrestle/internal/fleet/path/upstream_search.py
@@ -62,7 +62,7 @@
             break
         if not waiting:
             waiting = True
-            request.decision_log.add('held', reason='no upstream is available')
+            request.event_buffer.add('held', reason='no upstream is available')
         await asyncio.sleep(WAIT_POLL_SECONDS)
         request.readmit()
     raise request.make_refusal(
@@ -80,7 +80,7 @@
     if not limits.is_limited(upstream):
         return True
     permit = await limits.request_permit(upstream, candidates.rank)
-    request.decision_log.add(
+    request.event_buffer.add(
         'permit',
         **build_permit_fields(upstream, permit, candidates.rank),
     )
--- a/tests/cover/test_event_log.py
+++ b/tests/cover/test_event_log.py
@@ -30,7 +30,7 @@
 
 from lifttrestle.internal.clock.beat import Beat
 from lifttrestle.internal.clock.manual import ManualClock
-from lifttrestle.internal.fleet.path.event_buffer import DecisionLog
+from lifttrestle.internal.fleet.path.event_buffer import EventBuffer
 from lifttrestle.internal.telemetry.event_log import get_event_log
 from lifttrestle.internal.telemetry.event_sink import BURST
 from lifttrestle.internal.telemetry.event_sink import EventSink
@@ -130,12 +130,12 @@
         stream = self.open_stream()
         sink = self.open_sink(stream)
         for number in range(int(BURST) + EXCESS):
-            decision_log = DecisionLog(self.clock, f'good-{number}')
-            decision_log.write('complete', failed=False)
-        decision_log = DecisionLog(self.clock, 'bad')
-        decision_log.add('sent', instance='p1')
-        decision_log.add('refused', kind='overloaded')
-        decision_log.write('overloaded', failed=True)
+            event_buffer = EventBuffer(self.clock, f'good-{number}')
+            event_buffer.write('complete', failed=False)
+        event_buffer = EventBuffer(self.clock, 'bad')
+        event_buffer.add('sent', instance='p1')
+        event_buffer.add('refused', kind='overloaded')
+        event_buffer.write('overloaded', failed=True)
         sink.close()
         events = [
             line['event']
