--- a/src/lifttrestle/internal/fleet/path/candidates.py
+++ b/src/lifttrestle/internal/fleet/path/candidates.py
@@ -61,7 +61,7 @@
         parts = self._parts
         fit = [
             upstream
-            for upstream in self.list_fit(admitted, service)
+            for upstream in self.list_available(admitted, service)
             if not upstream.reach.unreachable
         ]
         fit = self._select_permitted(fit, get_urgency(admitted), repeated)
@@ -69,7 +69,7 @@
         wanted = None
         if generation is not None:
             wanted = parts.view.target_weights.get(generation.model)
-        surroundings = PlacementContext(
+        context = PlacementContext(
             now=parts.clock.monotonic(),
             data_centre=parts.settings.data_centre,
             wanted_version=wanted.version if wanted is not None else 0,
@@ -79,13 +79,13 @@
             fetch_seconds=admitted.catalogue.get_fetch_seconds(service),
         )
         if generation is None:
-            return choose_plain(fit, surroundings, parts.source)
+            return choose_plain(fit, context, parts.source)
         return choose_engine(
             fit,
             generation,
             get_cache_scope(admitted),
             parts.sources.shared,
-            surroundings,
+            context,
             parts.source,
         )
 
@@ -119,7 +119,7 @@
             return None
         return min(limits.get_retry_delay(item) for item in remaining)
 
-    def list_fit(
+    def list_available(
         self, admitted: AdmittedRequest, service: str
     ) -> list[FleetUpstream]:
         """Return the upstreams to which this request may be sent now."""
@@ -150,7 +150,7 @@
         now = self._parts.clock.monotonic()
         return any(
             not upstream.seems_down(now)
-            for upstream in self.list_fit(admitted, service)
+            for upstream in self.list_available(admitted, service)
         )
 
     def may_become_fit(self, service: str) -> bool:
