--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -66,13 +66,17 @@
         for number in range(engines):
             entry = make_entry(models=[{'name': 'm', 'version': 1}])
             value = msgspec.json.encode(entry)
-            self.directory.take(VersionedRow(f'i-{number:010x}', value, 1))
+            self.directory.apply_row(
+                VersionedRow(f'i-{number:010x}', value, 1)
+            )
         self.parts = SharedParts()
         roster = Roster(MemoryRows(), self.clock, 'me', 'a')
         roster.loaded = True
         for number in range(ROUTERS):
             row = msgspec.json.encode(RouterRow('a', f'10.0.0.{number}:7400'))
-            roster.take(VersionedRow(f'router/r{number}', row, number + 1))
+            roster.apply_row(
+                VersionedRow(f'router/r{number}', row, number + 1)
+            )
         self.loads = PeerLoads(
             'me', self.directory, roster, self.parts, self.clock
         )
--- a/src/lifttrestle/internal/fleet/process.py
+++ b/src/lifttrestle/internal/fleet/process.py
@@ -163,7 +163,9 @@
             # It lists the routers that can serve reads of the other tables.
             eager=True,
         )
-        self.roster.get_proved_at = lambda: self._routers_watch.current_as_of
+        self.roster.get_current_as_of = lambda: (
+            self._routers_watch.current_as_of
+        )
         self._upstreams_watch.restart_with(self._operator_watch)
         self._routers_watch.restart_with(self._operator_watch)
         self.stores = CacheStores(clock)
@@ -309,11 +311,11 @@
             # The first rows after an outage or a restore: entries that have
             # lapsed or are lost may still return.
             self._directory.outage_until = self._clock.monotonic()
-        self._directory.take(row)
+        self._directory.apply_row(row)
 
     def _apply_routers_row(self, row: VersionedRow) -> None:
         self.roster.loaded = True
-        self.roster.take(row)
+        self.roster.apply_row(row)
         self._weights.apply_row(row)
         self.crashes.apply_row(row)
 
--- a/src/lifttrestle/internal/fleet/state/directory.py
+++ b/src/lifttrestle/internal/fleet/state/directory.py
@@ -98,7 +98,7 @@
         """Return the upstream whose newest start has this digest."""
         return self._digests.get(digest)
 
-    def take(self, row: VersionedRow) -> None:
+    def apply_row(self, row: VersionedRow) -> None:
         """Apply a changed row of the list."""
         self.changes += 1
         if row.value is None:
--- a/src/lifttrestle/internal/fleet/state/roster.py
+++ b/src/lifttrestle/internal/fleet/state/roster.py
@@ -86,8 +86,8 @@
     :ivar address: where this router receives load reports.
     :ivar loaded: whether the table has been read.
     :ivar changes: counts the changes of the entries.
-    :ivar get_proved_at: returns the monotonic time at which the entries were
-        last confirmed to match the store. No row becomes stale during an
+    :ivar get_current_as_of: returns the monotonic time at which the entries
+        were last confirmed to match the store. No row becomes stale during an
         outage of the store.
     """
 
@@ -120,7 +120,7 @@
         self.address = ''
         self.loaded = False
         self.changes = 0
-        self.get_proved_at: Callable[[], float] = clock.monotonic
+        self.get_current_as_of: Callable[[], float] = clock.monotonic
 
     @property
     def live(self) -> int:
@@ -164,7 +164,7 @@
         entry = self._entries.get(key)
         return entry.data_centre if entry is not None else ''
 
-    def take(self, row: VersionedRow) -> None:
+    def apply_row(self, row: VersionedRow) -> None:
         """Apply a changed row of the table."""
         if not row.key.startswith(ROUTER_PREFIX):
             return
@@ -216,7 +216,7 @@
         entry = self._entries.get(key)
         if entry is None:
             return
-        seen_at = self.get_proved_at() - STALE_SECONDS + LOST_GRACE_SECONDS
+        seen_at = self.get_current_as_of() - STALE_SECONDS + LOST_GRACE_SECONDS
         self._oldest_seen_at = min(self._oldest_seen_at, seen_at)
         self._entries[key] = dataclasses.replace(
             entry, version=NO_ROW, seen_at=seen_at
@@ -320,7 +320,7 @@
         return True
 
     def _list_stale(self) -> list[str]:
-        latest = self.get_proved_at() - STALE_SECONDS
+        latest = self.get_current_as_of() - STALE_SECONDS
         if self._oldest_seen_at >= latest:
             # Called for each received load report, 250 times a second. A scan
             # of 195 rows each time took two fifths of the cost of a report
--- a/tests/cover/test_fleet_weights.py
+++ b/tests/cover/test_fleet_weights.py
@@ -127,7 +127,7 @@
         self._version_read = 0
         for instance in ENGINES:
             entry = make_entry(models=[{'name': 'm', 'version': 1}])
-            self.directory.take(
+            self.directory.apply_row(
                 VersionedRow(instance, msgspec.json.encode(entry), 1)
             )
         self.loader = loader_class(
@@ -417,7 +417,7 @@
         routers = [self.make_router(name) for name in ('a', 'b', 'c')]
         for router in routers:
             for name in ('router/a', 'router/b', 'router/c'):
-                router.roster.take(VersionedRow(name, ROUTER_ROW, 1))
+                router.roster.apply_row(VersionedRow(name, ROUTER_ROW, 1))
             router.name(2)
             router.loader._needed_since['m'] = 0.0
         self.time.advance(60.0)
@@ -588,7 +588,7 @@
             models=[{'name': 'm', 'version': weights}], **fields
         )
         self.engines.weights['e1'] = weights
-        self.router.directory.take(
+        self.router.directory.apply_row(
             VersionedRow('e1', msgspec.json.encode(entry), 9)
         )
 
--- a/tests/cover/test_limit_memory.py
+++ b/tests/cover/test_limit_memory.py
@@ -127,7 +127,7 @@
             )
             value = msgspec.json.encode(entry)
             directory.on_ended = self._make_forget(directory)
-            directory.take(VersionedRow('p0', value, 2))
+            directory.apply_row(VersionedRow('p0', value, 2))
         await self.simulation.pass_time(2.0)
         self.assertEqual(self.count_limited(), 0)
 
@@ -225,7 +225,7 @@
         self.assertFalse(self.design.limits[number].is_synced())
         for upstream in range(self.simulation.settings.upstreams):
             row = self.design.make_row(upstream)
-            self.design.directories[number].take(row)
+            self.design.directories[number].apply_row(row)
         listed = True
         self.assertFalse(self.design.limits[number].is_synced())
         await self.simulation.pass_time(0.1)
--- a/tests/cover/test_load_sums.py
+++ b/tests/cover/test_load_sums.py
@@ -100,14 +100,14 @@
             self.routers[name] = self.make_router(name, data_centre)
         for router in self.routers.values():
             for row in rows:
-                router.roster.take(row)
+                router.roster.apply_row(row)
 
     def make_router(self, name, data_centre):
         router = mock.Mock()
         directory = UpstreamDirectory(PlatformFormat(), self.clock)
         for engine in ENGINES:
             value = msgspec.json.encode(make_entry())
-            directory.take(VersionedRow(engine, value, 1))
+            directory.apply_row(VersionedRow(engine, value, 1))
         router.directory = directory
         router.roster = Roster(MemoryRows(), self.clock, name, data_centre)
         router.roster.loaded = True
--- a/tests/cover/test_peer_loads.py
+++ b/tests/cover/test_peer_loads.py
@@ -57,7 +57,7 @@
         self.clock = ManualClock(START)
         self.directory = UpstreamDirectory(PlatformFormat(), self.clock)
         value = msgspec.json.encode(make_entry())
-        self.directory.take(VersionedRow('u', value, 1))
+        self.directory.apply_row(VersionedRow('u', value, 1))
         self.upstream = self.directory.get('u')
         self.roster = Roster(MemoryRows(), self.clock, name, 'a')
         self.parts = SharedParts()
@@ -67,7 +67,7 @@
 
     def add_peer(self, name, address):
         row = msgspec.json.encode(RouterRow('a', str(address)))
-        self.roster.take(VersionedRow(f'router/{name}', row, 1))
+        self.roster.apply_row(VersionedRow(f'router/{name}', row, 1))
 
     def get_peer_load(self):
         return self.upstream.peers_in_flight, self.upstream.peers_unread
@@ -95,9 +95,9 @@
 
     def test_upstream_that_came_in_between_has_no_load_below_zero(self):
         self.router.loads.apply_report(make_report('a', 1, 4))
-        self.router.directory.take(VersionedRow('u', None, 2))
+        self.router.directory.apply_row(VersionedRow('u', None, 2))
         value = msgspec.json.encode(make_entry(address='1.2.3.4:9'))
-        self.router.directory.take(VersionedRow('u', value, 3))
+        self.router.directory.apply_row(VersionedRow('u', value, 3))
         upstream = self.router.directory.get('u')
         self.router.loads.apply_report(make_report('a', 2, 1))
         self.assertGreaterEqual(upstream.peers_in_flight, 0)
--- a/tests/cover/test_refused_input.py
+++ b/tests/cover/test_refused_input.py
@@ -106,7 +106,7 @@
         if not isinstance(entry, bytes):
             value = msgspec.json.encode(entry)
         self.commit += 1
-        self.directory.take(VersionedRow(key, value, self.commit))
+        self.directory.apply_row(VersionedRow(key, value, self.commit))
 
     def list_names(self):
         return sorted(upstream.instance for upstream in self.directory)
@@ -184,15 +184,15 @@
 
     @given(st.binary(max_size=200))
     def test_any_bytes_leave_the_others(self, value):
-        self.directory.take(VersionedRow('new', value, 1))
+        self.directory.apply_row(VersionedRow('new', value, 1))
         self.assertEqual(self.list_names(), ['engine', 'sound'])
 
     @given(st.text(), st.sampled_from((*WRONG_VALUES, 'stage')), JSON)
     def test_any_field_leaves_the_others(self, key, field, value):
         data = msgspec.json.encode({**ENGINE_ENTRY, field: value})
-        self.directory.take(VersionedRow(f'n{key}', data, 1))
+        self.directory.apply_row(VersionedRow(f'n{key}', data, 1))
         self.assertLessEqual({'engine', 'sound'}, set(self.list_names()))
-        self.directory.take(VersionedRow(f'n{key}', None, 2))
+        self.directory.apply_row(VersionedRow(f'n{key}', None, 2))
 
 
 class TestOtherRows(InputCase):
@@ -216,7 +216,7 @@
         roster = Roster(MemoryRows(), self.clock, 'me', 'a', self.refusals)
         roster.loaded = True
         for commit, value in enumerate((b'?', DEEP, b'{"address":1}'), 1):
-            roster.take(VersionedRow(f'router/{commit}', value, commit))
+            roster.apply_row(VersionedRow(f'router/{commit}', value, commit))
         self.assertEqual(roster.live, 3)
         self.assertEqual(roster.list_others(), [])
         self.assertEqual(len(self.counted), 3)
--- a/tests/cover/test_relay_follower.py
+++ b/tests/cover/test_relay_follower.py
@@ -85,7 +85,7 @@
     def take_rows(self):
         for key, address in self.addresses.items():
             row = msgspec.json.encode(RouterRow('a', address))
-            self.roster.take(VersionedRow(key, row, 1))
+            self.roster.apply_row(VersionedRow(key, row, 1))
 
     async def follow(self):
         """Run the follower for three times ``AVOID_SECONDS``."""
--- a/tests/cover/test_roster.py
+++ b/tests/cover/test_roster.py
@@ -45,7 +45,7 @@
         roster = Roster(self.rows, self.clock, name, 'a')
         roster.address = address
         roster.loaded = True
-        roster.get_proved_at = lambda: self.proved_at
+        roster.get_current_as_of = lambda: self.proved_at
         return roster
 
     async def apply_changes(self, roster):
@@ -53,7 +53,7 @@
         after = self.applied.get(roster.key, 0)
         changes = await self.rows.watch_table(FLEET_TABLE, after, 0)
         for row in changes.rows:
-            roster.take(row)
+            roster.apply_row(row)
         self.applied[roster.key] = changes.version
 
     def pass_time(self, seconds):
@@ -184,7 +184,7 @@
         """Apply rows as after a restore of the store."""
         for key, value, origin in rows:
             version = build_version(1, 5)
-            roster.take(VersionedRow(key, value, version, origin))
+            roster.apply_row(VersionedRow(key, value, version, origin))
 
     async def test_regression_lost_row_was_written_again_minutes_later(self):
         # The router was not counted until it next refreshed its row.
@@ -242,11 +242,11 @@
             await self.apply_changes(roster)
         row = self.rows.get(FLEET_TABLE, gone.key)
         for roster in (one, two):
-            roster.take(VersionedRow(gone.key, None, row.version + 1))
+            roster.apply_row(VersionedRow(gone.key, None, row.version + 1))
             undeleted = VersionedRow(
                 gone.key, row.value, row.version, RowOrigin.UNDELETED
             )
-            roster.take(undeleted)
+            roster.apply_row(undeleted)
             self.assertEqual(roster.live, 2)
         await two.remove_undeleted()
         self.assertIsNotNone(self.rows.get(FLEET_TABLE, gone.key).value)
--- a/tests/cover/test_upstream_life_model.py
+++ b/tests/cover/test_upstream_life_model.py
@@ -72,7 +72,7 @@
     def take(self, name, entry):
         self.commit += 1
         value = None if entry is None else msgspec.json.encode(entry)
-        self.directory.take(VersionedRow(name, value, self.commit))
+        self.directory.apply_row(VersionedRow(name, value, self.commit))
 
     @stateful.rule(name=NAME, draining=st.booleans())
     def list_entry(self, name, draining):
--- a/tests/support/crash_fleet.py
+++ b/tests/support/crash_fleet.py
@@ -64,12 +64,12 @@
                     born=BORN, address=f'127.0.0.1:{upstream + 1}'
                 )
                 value = msgspec.json.encode(entry)
-                directory.take(VersionedRow(f'p{upstream}', value, 1))
+                directory.apply_row(VersionedRow(f'p{upstream}', value, 1))
             roster = Roster(self.rows, self.clock, f'r{number}', 'a')
             roster.loaded = True
             for name in names:
                 row = msgspec.json.encode(RouterRow('a', '127.0.0.1:9'))
-                roster.take(VersionedRow(name, row, 1))
+                roster.apply_row(VersionedRow(name, row, 1))
             tracker = CrashTracker(
                 f'r{number}', self.rows, directory, roster, self.clock, 1.2
             )
--- a/tests/support/directories.py
+++ b/tests/support/directories.py
@@ -44,7 +44,7 @@
 
     def take(self, instance, value):
         self.commit += 1
-        self.directory.take(VersionedRow(instance, value, self.commit))
+        self.directory.apply_row(VersionedRow(instance, value, self.commit))
 
     def list_available(self, service='s'):
         return [
--- a/tests/support/limit_simulation.py
+++ b/tests/support/limit_simulation.py
@@ -236,14 +236,14 @@
         for other in range(simulation.settings.routers):
             row = RouterRow(simulation.get_data_centre(other), '127.0.0.1:9')
             value = msgspec.json.encode(row)
-            roster.take(VersionedRow(f'router/r{other}', value, 1))
+            roster.apply_row(VersionedRow(f'router/r{other}', value, 1))
         return roster
 
     def make_directory(self, upstreams: int) -> UpstreamDirectory:
         """Return a directory with the given number of upstreams."""
         directory = UpstreamDirectory(PlatformFormat(), self.simulation.clock)
         for number in range(upstreams):
-            directory.take(self.make_row(number))
+            directory.apply_row(self.make_row(number))
         return directory
 
     def make_row(self, number: int) -> VersionedRow:
--- a/tests/support/load_simulation.py
+++ b/tests/support/load_simulation.py
@@ -113,7 +113,7 @@
         for engine in engines:
             entry = make_entry(models=[{'name': 'm', 'version': 1}])
             row = VersionedRow(engine, msgspec.json.encode(entry), 1)
-            self.directory.take(row)
+            self.directory.apply_row(row)
         self.parts = SharedParts()
         self.pace = EnginePace()
         self.key = f'router/r{number}'
@@ -207,7 +207,7 @@
             rows.append(VersionedRow(key, value, number + 1))
         for router in self._routers:
             for row in rows:
-                router.roster.take(row)
+                router.roster.apply_row(row)
 
     def _schedule(self, at: float, act: object) -> None:
         heapq.heappush(self._events, (at, next(self._order), act))
