--- a/src/lifttrestle/internal/configuration/model.py
+++ b/src/lifttrestle/internal/configuration/model.py
@@ -45,7 +45,7 @@
 
 
 class Workspace(Item, frozen=True, forbid_unknown_fields=True):
-    """A tenant with its data centres, permissions and limits.
+    """A customer with its data centres, permissions and limits.
 
     :ivar data_centres: the only data centres that may serve it and hold its
         prompts, cached context and answers.
--- a/src/lifttrestle/internal/fleet/state/catalogue.py
+++ b/src/lifttrestle/internal/fleet/state/catalogue.py
@@ -129,7 +129,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Workspace:
-    """The tenant on whose behalf requests are sent.
+    """The customer on whose behalf requests are sent.
 
     :ivar priority: 0 is the highest; None if the priority of the route
         applies.
