--- a/src/lifttrestle/internal/fleet/limits/limit_state.py
+++ b/src/lifttrestle/internal/fleet/limits/limit_state.py
@@ -16,8 +16,8 @@
 import math
 
 from lifttrestle.internal.fleet.limits.messages import LimitItem
-from lifttrestle.internal.fleet.policy.limit_belief import LimitBelief
-from lifttrestle.internal.fleet.policy.limit_belief import LimitObservation
+from lifttrestle.internal.fleet.policy.known_limit import LimitBelief
+from lifttrestle.internal.fleet.policy.known_limit import LimitObservation
 from lifttrestle.internal.fleet.policy.limit_permits import PermitBucket
 
 # Upper bound of a datagram's transit time between two routers. A reported age
--- a/src/lifttrestle/internal/fleet/limits/memory.py
+++ b/src/lifttrestle/internal/fleet/limits/memory.py
@@ -33,8 +33,8 @@
 from lifttrestle.internal.fleet.limits.registry import LimitRegistry
 from lifttrestle.internal.fleet.limits.replicator import LimitReplicator
 from lifttrestle.internal.fleet.limits.replicator import Send
-from lifttrestle.internal.fleet.policy.limit_belief import LimitObservation
-from lifttrestle.internal.fleet.policy.limit_belief import ReportedLimit
+from lifttrestle.internal.fleet.policy.known_limit import LimitObservation
+from lifttrestle.internal.fleet.policy.known_limit import ReportedLimit
 from lifttrestle.internal.fleet.state.directory import UpstreamDirectory
 from lifttrestle.internal.fleet.state.roster import Roster
 from lifttrestle.internal.fleet.state.upstream import FleetUpstream
--- a/src/lifttrestle/internal/fleet/limits/registry.py
+++ b/src/lifttrestle/internal/fleet/limits/registry.py
@@ -19,8 +19,8 @@
 from lifttrestle.internal.fleet.limits.limit_state import LimitState
 from lifttrestle.internal.fleet.limits.limit_state import read_item
 from lifttrestle.internal.fleet.limits.messages import LimitItem
-from lifttrestle.internal.fleet.policy.limit_belief import LimitChange
-from lifttrestle.internal.fleet.policy.limit_belief import LimitObservation
+from lifttrestle.internal.fleet.policy.known_limit import LimitChange
+from lifttrestle.internal.fleet.policy.known_limit import LimitObservation
 from lifttrestle.internal.fleet.policy.limit_permits import PermitBucket
 from lifttrestle.internal.fleet.state.upstream import FleetUpstream
 from lifttrestle.internal.telemetry.event_log import get_event_log
--- a/src/lifttrestle/internal/fleet/loads/engine_control.py
+++ b/src/lifttrestle/internal/fleet/loads/engine_control.py
@@ -17,7 +17,7 @@
 import dataclasses
 import enum
 
-from lifttrestle.internal.fleet.policy.limit_belief import ReportedLimit
+from lifttrestle.internal.fleet.policy.known_limit import ReportedLimit
 from lifttrestle.internal.fleet.state.upstream import FleetUpstream
 
 LimitCallback = Callable[[FleetUpstream, ReportedLimit, float], None]
--- a/src/lifttrestle/internal/fleet/path/attempt.py
+++ b/src/lifttrestle/internal/fleet/path/attempt.py
@@ -26,7 +26,7 @@
 from lifttrestle.internal.fleet.path.dialect import AnswerFacts
 from lifttrestle.internal.fleet.path.dialect import RequestDialect
 from lifttrestle.internal.fleet.path.request_context import NOT_RUN_STATUSES
-from lifttrestle.internal.fleet.policy.limit_belief import ReportedLimit
+from lifttrestle.internal.fleet.policy.known_limit import ReportedLimit
 from lifttrestle.internal.fleet.state.upstream import FleetUpstream
 from lifttrestle.internal.fleet.state.upstream import SILENT_SECONDS
 from lifttrestle.internal.http.client_connection import ClientConnection
--- a/src/lifttrestle/internal/fleet/path/dialect.py
+++ b/src/lifttrestle/internal/fleet/path/dialect.py
@@ -20,7 +20,7 @@
 import dataclasses
 
 from lifttrestle.errors import RequestRefused
-from lifttrestle.internal.fleet.policy.limit_belief import ReportedLimit
+from lifttrestle.internal.fleet.policy.known_limit import ReportedLimit
 from lifttrestle.internal.http.answer import Answer
 from lifttrestle.internal.http.answer import Header
 from lifttrestle.internal.http.head import RequestHead
--- a/src/lifttrestle/internal/platform/upstream_limit.py
+++ b/src/lifttrestle/internal/platform/upstream_limit.py
@@ -27,7 +27,7 @@
 import re
 
 from lifttrestle.errors import InputRefused
-from lifttrestle.internal.fleet.policy.limit_belief import ReportedLimit
+from lifttrestle.internal.fleet.policy.known_limit import ReportedLimit
 from lifttrestle.internal.http.answer import Header
 from lifttrestle.internal.intake.fault import InputFault
 from lifttrestle.internal.platform import names
--- a/tests/cover/test_limit_belief.py
+++ b/tests/cover/test_known_limit.py
@@ -14,9 +14,9 @@
 
 import unittest
 
-from lifttrestle.internal.fleet.policy.limit_belief import LimitBelief
-from lifttrestle.internal.fleet.policy.limit_belief import LimitChange
-from lifttrestle.internal.fleet.policy.limit_belief import LimitObservation
+from lifttrestle.internal.fleet.policy.known_limit import LimitBelief
+from lifttrestle.internal.fleet.policy.known_limit import LimitChange
+from lifttrestle.internal.fleet.policy.known_limit import LimitObservation
 
 
 def observe(belief, rate, begin, end):
--- a/tests/cover/test_limit_memory.py
+++ b/tests/cover/test_limit_memory.py
@@ -20,7 +20,7 @@
 from lifttrestle.internal.fleet.limits.allocators import PermitAllocators
 from lifttrestle.internal.fleet.limits.messages import LimitItem
 from lifttrestle.internal.fleet.limits.messages import LimitUpdate
-from lifttrestle.internal.fleet.policy.limit_belief import ReportedLimit
+from lifttrestle.internal.fleet.policy.known_limit import ReportedLimit
 from lifttrestle.internal.fleet.state.load_messages import decode_message
 from lifttrestle.internal.fleet.state.rows import VersionedRow
 from tests.support.entries import make_entry
--- a/tests/nocover/test_limits_command.py
+++ b/tests/nocover/test_limits_command.py
@@ -23,7 +23,7 @@
 from lifttrestle.internal.clock.manual import ManualClock
 from lifttrestle.internal.fleet.limits.limit_state import LimitState
 from lifttrestle.internal.fleet.path.handlers import MetricsHandler
-from lifttrestle.internal.fleet.policy.limit_belief import LimitObservation
+from lifttrestle.internal.fleet.policy.known_limit import LimitObservation
 from lifttrestle.internal.fleet.policy.limit_permits import PermitBucket
 from lifttrestle.internal.http.address import Address
 from lifttrestle.internal.http.limits import HttpLimits
--- a/tests/support/limit_simulation.py
+++ b/tests/support/limit_simulation.py
@@ -33,7 +33,7 @@
 from lifttrestle.internal.clock.beat import Beat
 from lifttrestle.internal.clock.manual import ManualClock
 from lifttrestle.internal.fleet.limits.memory import UpstreamLimits
-from lifttrestle.internal.fleet.policy.limit_belief import ReportedLimit
+from lifttrestle.internal.fleet.policy.known_limit import ReportedLimit
 from lifttrestle.internal.fleet.policy.limit_permits import rank_request
 from lifttrestle.internal.fleet.state.directory import UpstreamDirectory
 from lifttrestle.internal.fleet.state.load_messages import decode_message
