--- a/src/lifttrestle/internal/fleet/gauges.py
+++ b/src/lifttrestle/internal/fleet/gauges.py
@@ -107,9 +107,9 @@
         'The lowest limit in force, requests a second; -1 without any.',
         lambda parts: min(
             (
-                held.belief.rate
+                held.known_limit.rate
                 for held in parts.limits
-                if held.belief.rate is not None
+                if held.known_limit.rate is not None
             ),
             default=-1.0,
         ),
--- a/src/lifttrestle/internal/fleet/limits/limit_state.py
+++ b/src/lifttrestle/internal/fleet/limits/limit_state.py
@@ -16,7 +16,7 @@
 import math
 
 from lifttrestle.internal.fleet.limits.messages import LimitItem
-from lifttrestle.internal.fleet.policy.known_limit import LimitBelief
+from lifttrestle.internal.fleet.policy.known_limit import KnownLimit
 from lifttrestle.internal.fleet.policy.known_limit import LimitObservation
 from lifttrestle.internal.fleet.policy.limit_permits import PermitBucket
 
@@ -46,7 +46,7 @@
     start: str
     digest: int
     data_centre: str
-    belief: LimitBelief = dataclasses.field(default_factory=LimitBelief)
+    known_limit: KnownLimit = dataclasses.field(default_factory=KnownLimit)
     recovering: bool = False
     recovered_at: float = -math.inf
     bucket: PermitBucket | None = None
@@ -57,13 +57,13 @@
     @property
     def needs_permits(self) -> bool:
         """Return whether requests may be sent with a permit only."""
-        return self.belief.rate is not None or self.recovering
+        return self.known_limit.rate is not None or self.recovering
 
     @property
     def is_unknown(self) -> bool:
         """Return whether no limit and no end of one was received yet."""
-        never = math.isinf(self.belief.ended_at)
-        return self.belief.rate is None and never
+        never = math.isinf(self.known_limit.ended_at)
+        return self.known_limit.rate is None and never
 
     def is_refused(self, rank: int, now: float) -> bool:
         """Return whether a request of this rank is known to be refused now."""
@@ -76,13 +76,13 @@
 
     def build_item(self, now: float) -> LimitItem:
         """Return the item that reports this limit to other routers."""
-        belief = self.belief
-        begin, end = belief.latest.begin, belief.latest.end
-        if belief.rate is None:
-            begin = end = belief.ended_at
+        known_limit = self.known_limit
+        begin, end = known_limit.latest.begin, known_limit.latest.end
+        if known_limit.rate is None:
+            begin = end = known_limit.ended_at
         return LimitItem(
             self.digest,
-            belief.rate,
+            known_limit.rate,
             max(now - begin, 0.0),
             max(now - end, 0.0),
             self.recovering,
@@ -99,11 +99,11 @@
         """Return whether this state can be dropped."""
         if self.needs_permits:
             return False
-        return now - self.belief.ended_at > RETENTION_SECONDS
+        return now - self.known_limit.ended_at > RETENTION_SECONDS
 
     def is_recovery_timed_out(self, now: float) -> bool:
         """Return whether a recovery was not confirmed in time."""
-        since = now - self.belief.ended_at
+        since = now - self.known_limit.ended_at
         unconfirmed = self.recovering and not self.is_sole_allocator
         return unconfirmed and since > RECOVERY_TIMEOUT_SECONDS
 
--- a/src/lifttrestle/internal/fleet/limits/listing.py
+++ b/src/lifttrestle/internal/fleet/limits/listing.py
@@ -45,15 +45,17 @@
 
 
 def _build_entry(limit: LimitState, now: float) -> ListedLimit:
-    belief = limit.belief
+    known_limit = limit.known_limit
     named_at = (
-        belief.latest.end if belief.rate is not None else belief.ended_at
+        known_limit.latest.end
+        if known_limit.rate is not None
+        else known_limit.ended_at
     )
     bucket = limit.bucket
     return ListedLimit(
         limit.start,
         limit.data_centre,
-        belief.rate,
+        known_limit.rate,
         round(now - named_at, 3),
         bucket.share if bucket is not None else 0.0,
         round(bucket.use.get(now), 3) if bucket is not None else 0.0,
--- a/src/lifttrestle/internal/fleet/limits/permits.py
+++ b/src/lifttrestle/internal/fleet/limits/permits.py
@@ -86,11 +86,11 @@
         now = self._clock.monotonic()
         if permit.wait:
             limit.note_refusal(rank, now + permit.wait)
-        belief = limit.belief
-        if belief.rate is None:
+        known_limit = limit.known_limit
+        if known_limit.rate is None:
             return permit
-        age = now - belief.latest.end
-        return dataclasses.replace(permit, rate=belief.rate, age=age)
+        age = now - known_limit.latest.end
+        return dataclasses.replace(permit, rate=known_limit.rate, age=age)
 
     async def _query_allocators(
         self, limit: LimitState, rank: int
@@ -150,6 +150,6 @@
         if limit.bucket is not None:
             wait = limit.bucket.take(rank, self._clock.monotonic())
             return PermitAnswer(self._vm, number, wait)
-        if limit.belief.rate is None:
+        if limit.known_limit.rate is None:
             return PermitAnswer(self._vm, number, 0.0, True)
         return PermitAnswer(self._vm, number, UNKNOWN_RETRY_SECONDS)
--- a/src/lifttrestle/internal/fleet/limits/registry.py
+++ b/src/lifttrestle/internal/fleet/limits/registry.py
@@ -77,8 +77,8 @@
 
         :param source: of the observation, for the log.
         """
-        before = limit.belief.rate
-        change = limit.belief.update(observation)
+        before = limit.known_limit.rate
+        change = limit.known_limit.update(observation)
         if change is LimitChange.NOTHING:
             return False
         now = self._clock.monotonic()
@@ -89,7 +89,7 @@
         LOG.info(
             f'limit.{change.value}',
             start=limit.start,
-            rate_per_s=limit.belief.rate,
+            rate_per_s=limit.known_limit.rate,
             before=before,
             source=source,
             age_ms=round((now - observation.end) * MILLISECONDS),
@@ -108,10 +108,10 @@
         if item.recovering and limit.is_unknown:
             # Resumes a recovery whose allocator is gone.
             limit.recovering = True
-            limit.belief.ended_at = observation.end
+            limit.known_limit.ended_at = observation.end
         changed = self.observe(limit, observation, vm)
         primary = self._allocators.get_primary(limit.data_centre)
-        if key == primary and item.rate == limit.belief.rate:
+        if key == primary and item.rate == limit.known_limit.rate:
             limit.confirmed = True
             if item.rate is None and not item.recovering:
                 self.end_recovery(limit, vm)
@@ -121,7 +121,7 @@
         """Adapt the permits that this router grants to limit and share."""
         now = self._clock.monotonic()
         share = self._allocators.get_share(limit.data_centre)
-        rate = limit.belief.rate
+        rate = limit.known_limit.rate
         if not share:
             limit.bucket = None
         elif limit.bucket is not None:
@@ -133,7 +133,7 @@
 
     def end_recovery(self, limit: LimitState, source: str) -> None:
         """Require no more permits: the recovery is complete."""
-        if limit.belief.rate is not None or not limit.recovering:
+        if limit.known_limit.rate is not None or not limit.recovering:
             return
         limit.recovering = False
         limit.bucket = None
--- a/src/lifttrestle/internal/fleet/policy/known_limit.py
+++ b/src/lifttrestle/internal/fleet/policy/known_limit.py
@@ -64,7 +64,7 @@
 
 
 @dataclasses.dataclass
-class LimitBelief:
+class KnownLimit:
     """Known limit of one start of an upstream.
 
     :ivar rate: requests per second in force, None without a limit.
--- a/tests/cover/test_known_limit.py
+++ b/tests/cover/test_known_limit.py
@@ -14,63 +14,69 @@
 
 import unittest
 
-from lifttrestle.internal.fleet.policy.known_limit import LimitBelief
+from lifttrestle.internal.fleet.policy.known_limit import KnownLimit
 from lifttrestle.internal.fleet.policy.known_limit import LimitChange
 from lifttrestle.internal.fleet.policy.known_limit import LimitObservation
 
 
-def observe(belief, rate, begin, end):
-    return belief.update(LimitObservation(rate, begin, end))
+def observe(known_limit, rate, begin, end):
+    return known_limit.update(LimitObservation(rate, begin, end))
 
 
-class TestBelief(unittest.TestCase):
+class TestKnownLimit(unittest.TestCase):
     def test_limit_counts_from_the_first_answer_that_names_it(self):
-        belief = LimitBelief()
-        self.assertIs(observe(belief, None, 0.0, 1.0), LimitChange.NOTHING)
-        self.assertIs(observe(belief, 1.2, 0.5, 0.9), LimitChange.LEARNT)
-        self.assertEqual(belief.rate, 1.2)
+        known_limit = KnownLimit()
+        self.assertIs(
+            observe(known_limit, None, 0.0, 1.0), LimitChange.NOTHING
+        )
+        self.assertIs(observe(known_limit, 1.2, 0.5, 0.9), LimitChange.LEARNT)
+        self.assertEqual(known_limit.rate, 1.2)
 
     def test_answer_from_before_it_was_named_does_not_end_it(self):
-        belief = LimitBelief()
-        observe(belief, 1.2, 1.0, 2.0)
-        self.assertIs(observe(belief, None, 1.9, 5.0), LimitChange.NOTHING)
-        self.assertEqual(belief.rate, 1.2)
+        known_limit = KnownLimit()
+        observe(known_limit, 1.2, 1.0, 2.0)
+        self.assertIs(
+            observe(known_limit, None, 1.9, 5.0), LimitChange.NOTHING
+        )
+        self.assertEqual(known_limit.rate, 1.2)
 
     def test_answer_to_what_was_sent_later_ends_it(self):
-        belief = LimitBelief()
-        observe(belief, 1.2, 1.0, 2.0)
-        self.assertIs(observe(belief, None, 2.0, 3.0), LimitChange.ENDED)
-        self.assertIsNone(belief.rate)
+        known_limit = KnownLimit()
+        observe(known_limit, 1.2, 1.0, 2.0)
+        self.assertIs(observe(known_limit, None, 2.0, 3.0), LimitChange.ENDED)
+        self.assertIsNone(known_limit.rate)
 
     def test_answer_in_flight_while_it_ended_does_not_bring_it_back(self):
-        belief = LimitBelief()
-        observe(belief, 1.2, 1.0, 2.0)
-        observe(belief, None, 2.5, 3.0)
-        self.assertIs(observe(belief, 1.2, 2.9, 6.0), LimitChange.NOTHING)
-        self.assertIsNone(belief.rate)
-        self.assertIs(observe(belief, 0.4, 3.0, 3.5), LimitChange.LEARNT)
+        known_limit = KnownLimit()
+        observe(known_limit, 1.2, 1.0, 2.0)
+        observe(known_limit, None, 2.5, 3.0)
+        self.assertIs(observe(known_limit, 1.2, 2.9, 6.0), LimitChange.NOTHING)
+        self.assertIsNone(known_limit.rate)
+        self.assertIs(observe(known_limit, 0.4, 3.0, 3.5), LimitChange.LEARNT)
 
     def test_lower_limit_counts_if_it_may_be_newer(self):
-        belief = LimitBelief()
-        observe(belief, 5.0, 1.0, 3.0)
-        self.assertIs(observe(belief, 1.0, 2.0, 2.5), LimitChange.CHANGED)
-        self.assertEqual(belief.rate, 1.0)
+        known_limit = KnownLimit()
+        observe(known_limit, 5.0, 1.0, 3.0)
+        self.assertIs(observe(known_limit, 1.0, 2.0, 2.5), LimitChange.CHANGED)
+        self.assertEqual(known_limit.rate, 1.0)
 
     def test_higher_limit_counts_if_it_surely_is_newer(self):
-        belief = LimitBelief()
-        observe(belief, 1.0, 1.0, 3.0)
-        self.assertIs(observe(belief, 5.0, 2.0, 4.0), LimitChange.NOTHING)
-        self.assertIs(observe(belief, 5.0, 3.0, 4.0), LimitChange.CHANGED)
+        known_limit = KnownLimit()
+        observe(known_limit, 1.0, 1.0, 3.0)
+        self.assertIs(observe(known_limit, 5.0, 2.0, 4.0), LimitChange.NOTHING)
+        self.assertIs(observe(known_limit, 5.0, 3.0, 4.0), LimitChange.CHANGED)
 
     def test_older_word_of_a_lower_limit_is_passed_over(self):
-        belief = LimitBelief()
-        observe(belief, 5.0, 2.0, 3.0)
-        self.assertIs(observe(belief, 1.0, 0.5, 1.9), LimitChange.NOTHING)
+        known_limit = KnownLimit()
+        observe(known_limit, 5.0, 2.0, 3.0)
+        self.assertIs(observe(known_limit, 1.0, 0.5, 1.9), LimitChange.NOTHING)
 
     def test_same_word_in_any_order_changes_nothing(self):
-        belief = LimitBelief()
-        observe(belief, 1.0, 1.0, 3.0)
+        known_limit = KnownLimit()
+        observe(known_limit, 1.0, 1.0, 3.0)
         for begin in (0.0, 1.0, 2.5, 4.0):
-            change = observe(belief, 1.0, begin, begin + 1.0)
+            change = observe(known_limit, 1.0, begin, begin + 1.0)
             self.assertIs(change, LimitChange.NOTHING)
-        self.assertIs(observe(belief, None, 4.9, 6.0), LimitChange.NOTHING)
+        self.assertIs(
+            observe(known_limit, None, 4.9, 6.0), LimitChange.NOTHING
+        )
--- a/tests/nocover/test_limits_command.py
+++ b/tests/nocover/test_limits_command.py
@@ -38,13 +38,13 @@
         clock = ManualClock(START)
         clock.advance(20.0)
         given = LimitState('p1@17', 1, 'a')
-        given.belief.update(LimitObservation(1.2, 10.0, 17.5))
+        given.known_limit.update(LimitObservation(1.2, 10.0, 17.5))
         given.bucket = PermitBucket(1.2, 1.0, 0.0)
         given.bucket.take(0, 5.0)
         other = LimitState('p2@17', 2, 'b')
-        other.belief.update(LimitObservation(0.4, 10.0, 19.0))
+        other.known_limit.update(LimitObservation(0.4, 10.0, 19.0))
         ended = LimitState('p3@17', 3, 'b', recovering=True)
-        ended.belief.ended_at = 18.0
+        ended.known_limit.ended_at = 18.0
         self.limits = [ended, other, given]
         door = MetricsHandler(FleetMetrics(), self.limits, clock)
         self.loop = asyncio.new_event_loop()
--- a/tests/nocover/test_upstream_limits.py
+++ b/tests/nocover/test_upstream_limits.py
@@ -122,7 +122,7 @@
 
     def list_limited(self, fleet):
         return {
-            held.start.partition('@')[0]: held.belief.rate
+            held.start.partition('@')[0]: held.known_limit.rate
             for held in fleet.router.limits
         }
 
@@ -215,7 +215,7 @@
                 await router.start()
                 try:
                     await wait_until(router.is_ready)
-                    known = {held.belief.rate for held in router.limits}
+                    known = {held.known_limit.rate for held in router.limits}
                 finally:
                     await router.stop()
         self.assertEqual(known, {0.7})
