--- a/tests/support/limit_simulation.py
+++ b/tests/support/limit_simulation.py
@@ -33,7 +33,7 @@
 from lifttrestle.internal.clock.manual import ManualClock
 from lifttrestle.internal.clock.ticker import Ticker
 from lifttrestle.internal.fleet.limits.memory import UpstreamLimits
-from lifttrestle.internal.fleet.policy.limit_belief import ReportedLimit
+from lifttrestle.internal.fleet.policy.known_limit import ReportedLimit
 from lifttrestle.internal.fleet.policy.limit_permits import rank_request
 from lifttrestle.internal.fleet.state.directory import UpstreamDirectory
 from lifttrestle.internal.fleet.state.load_messages import decode_message
@@ -236,14 +236,14 @@
         for other in range(simulation.settings.routers):
             row = RouterRow(simulation.get_data_centre(other), '127.0.0.1:9')
             value = msgspec.json.encode(row)
-            roster.take(VersionedRow(f'router/r{other}', value, 1))
+            roster.apply_row(VersionedRow(f'router/r{other}', value, 1))
         return roster
 
     def make_directory(self, upstreams: int) -> UpstreamDirectory:
         """Return a directory with the given number of upstreams."""
         directory = UpstreamDirectory(PlatformFormat(), self.simulation.clock)
         for number in range(upstreams):
-            directory.take(self.make_row(number))
+            directory.apply_row(self.make_row(number))
         return directory
 
     def make_row(self, number: int) -> VersionedRow:
