--- a/src/lifttrestle/internal/cli/fleet_router.py
+++ b/src/lifttrestle/internal/cli/fleet_router.py
@@ -120,7 +120,7 @@
     file = SettingsFile(path, options.metrics_port)
     beside = [
         process.follow_settings(file.read_changed),
-        sink.run(process.beat),
+        sink.run(process.ticker),
     ]
     feed = None
     if options.statsd.host:
--- a/src/lifttrestle/internal/fleet/crashes/holds.py
+++ b/src/lifttrestle/internal/fleet/crashes/holds.py
@@ -206,10 +206,10 @@
         due_at = self._clock.monotonic() + delay
         self._due[digest] = DueWrite(due_at, row)
 
-    async def run(self, beat: Ticker) -> None:
+    async def run(self, ticker: Ticker) -> None:
         """Run the scheduled writes until cancelled."""
         while True:
-            await beat.wait(POLL_SECONDS)
+            await ticker.wait(POLL_SECONDS)
             self.check_epoch()
             if self._due:
                 await self.write_due()
--- a/src/lifttrestle/internal/fleet/crashes/tracker.py
+++ b/src/lifttrestle/internal/fleet/crashes/tracker.py
@@ -93,17 +93,17 @@
         self.losses.on_crashed = self._note_crashed
         self.losses.on_crash_retracted = self._retract_crash
 
-    async def run(self, beat: Ticker) -> None:
+    async def run(self, ticker: Ticker) -> None:
         """Run replication, row writes and the sweep until cancelled."""
         await asyncio.gather(
             self.replicator.run(),
-            self.holds.run(beat),
-            self._run_sweep(beat),
+            self.holds.run(ticker),
+            self._run_sweep(ticker),
         )
 
-    async def _run_sweep(self, beat: Ticker) -> None:
+    async def _run_sweep(self, ticker: Ticker) -> None:
         while True:
-            await beat.wait(POLL_SECONDS)
+            await ticker.wait(POLL_SECONDS)
             self.losses.sweep(self._is_listed)
 
     def _is_listed(self, start: str) -> bool:
--- a/src/lifttrestle/internal/fleet/limits/memory.py
+++ b/src/lifttrestle/internal/fleet/limits/memory.py
@@ -179,11 +179,11 @@
         """Return whether other routers sent their limits, or had time to."""
         return self._replicator.is_synced()
 
-    async def run(self, beat: Ticker) -> None:
+    async def run(self, ticker: Ticker) -> None:
         """Send updates and sweep until cancelled."""
         await asyncio.gather(
             self._replicator.run(),
-            self._run_sweeps(beat),
+            self._run_sweeps(ticker),
             self._wait_until_synced(),
         )
 
@@ -191,9 +191,9 @@
         while not self.is_synced():
             await self._clock.sleep(SYNC_POLL_SECONDS)
 
-    async def _run_sweeps(self, beat: Ticker) -> None:
+    async def _run_sweeps(self, ticker: Ticker) -> None:
         while True:
-            await beat.wait(SWEEP_SECONDS)
+            await ticker.wait(SWEEP_SECONDS)
             self.sweep()
 
     def sweep(self) -> None:
--- a/src/lifttrestle/internal/fleet/loads/weights_loader.py
+++ b/src/lifttrestle/internal/fleet/loads/weights_loader.py
@@ -92,10 +92,10 @@
         # The state in which all engines of a model held its weights.
         self._complete_states: dict[str, tuple[int, ...]] = {}
 
-    async def run(self, beat: Ticker) -> None:
+    async def run(self, ticker: Ticker) -> None:
         """Load missing weights, forever."""
         while True:
-            await beat.wait(POLL_SECONDS)
+            await ticker.wait(POLL_SECONDS)
             for model in list(self._view.target_weights):
                 try:
                     await self.serve_model(model)
--- a/src/lifttrestle/internal/fleet/process.py
+++ b/src/lifttrestle/internal/fleet/process.py
@@ -120,7 +120,7 @@
         self._source = source
         self.store = store
         self._format = stored_format
-        self.beat = Ticker(clock, source.random())
+        self.ticker = Ticker(clock, source.random())
         self._stop = asyncio.Event()
         self._reload = asyncio.Event()
         self._control = ControlTasks(self._stop.set)
@@ -432,17 +432,17 @@
         prober = ReachProber(self._directory, self.stores, self._clock)
         prober.on_probed = self.crashes.losses.note_probed
         self._control.start(
-            self.relays.run(self.beat),
+            self.relays.run(self.ticker),
             self._operator_watch.run(),
             self._upstreams_watch.run(),
             self._routers_watch.run(),
             self.roster.run(),
-            self._loader.run(self.beat),
-            watch_stalls(self.beat),
-            prober.run(self.beat),
+            self._loader.run(self.ticker),
+            watch_stalls(self.ticker),
+            prober.run(self.ticker),
             self._peer_loads.run(),
-            self.crashes.run(self.beat),
-            self.limits.run(self.beat),
+            self.crashes.run(self.ticker),
+            self.limits.run(self.ticker),
         )
 
     async def stop(self) -> bool:
--- a/src/lifttrestle/internal/fleet/stall_watch.py
+++ b/src/lifttrestle/internal/fleet/stall_watch.py
@@ -21,9 +21,9 @@
 STALL_SECONDS = 0.5
 
 
-async def watch_stalls(beat: Ticker) -> None:
+async def watch_stalls(ticker: Ticker) -> None:
     """Log each time that the process was not running, forever."""
     while True:
-        late = await beat.wait(POLL_SECONDS)
+        late = await ticker.wait(POLL_SECONDS)
         if late >= STALL_SECONDS:
             LOG.warning('router.stood_still', seconds=round(late, 3))
--- a/src/lifttrestle/internal/fleet/state/reach_probing.py
+++ b/src/lifttrestle/internal/fleet/state/reach_probing.py
@@ -67,11 +67,11 @@
         self._probes: dict[str, asyncio.Task[None]] = {}
         self.on_probed: Callable[[str, bool, bool], None] = _ignore_probe
 
-    async def run(self, beat: Ticker) -> None:
+    async def run(self, ticker: Ticker) -> None:
         """Start due probes periodically until cancelled."""
         try:
             while True:
-                await beat.wait(POLL_SECONDS)
+                await ticker.wait(POLL_SECONDS)
                 self.begin_probes()
         finally:
             for probe in self._probes.values():
--- a/src/lifttrestle/internal/fleet/state/relay_follower.py
+++ b/src/lifttrestle/internal/fleet/state/relay_follower.py
@@ -89,7 +89,7 @@
         self._relays: list[str] = []
         self._reads_directly = True
 
-    async def run(self, beat: Ticker) -> None:
+    async def run(self, ticker: Ticker) -> None:
         """Follow relays, and read the store directly while none works."""
         started_at = self._clock.monotonic()
         self._last_confirmed_at = (
@@ -99,7 +99,7 @@
             while True:
                 self._update_connections()
                 self._choose_source()
-                await beat.wait(self._get_pause(started_at))
+                await ticker.wait(self._get_pause(started_at))
         finally:
             for task in self._connections.values():
                 task.cancel()
--- a/tests/support/limit_simulation.py
+++ b/tests/support/limit_simulation.py
@@ -222,8 +222,8 @@
             knows_upstreams,
         )
         self._connect(limits, number)
-        beat = Ticker(simulation.clock, simulation.source.random())
-        self._tasks.append(asyncio.create_task(limits.run(beat)))
+        ticker = Ticker(simulation.clock, simulation.source.random())
+        self._tasks.append(asyncio.create_task(limits.run(ticker)))
         return limits
 
     def _make_roster(self, number: int) -> Roster:
