--- a/src/lifttrestle/internal/cli/check.py
+++ b/src/lifttrestle/internal/cli/check.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""``lifttrestle check``: finds every fault in a settings file."""
+"""``lifttrestle check``: reports every fault in settings files."""
 
 import argparse
 import pathlib
@@ -23,7 +23,8 @@
 from lifttrestle.internal.settings.load import check_settings
 
 EXIT_OK = 0
-# Settings that the users' platform writes; our own are TOML.
+# Suffixes of the settings files that the platform writes. Those of routers
+# without the platform are TOML.
 NODE_SUFFIXES = ('.yaml', '.yml')
 
 
@@ -39,7 +40,7 @@
 
 
 def run(options: argparse.Namespace) -> int:
-    """Check each file; exit 2 if there is a fault."""
+    """Print the faults of each file; return 2 if there are any, else 0."""
     faults = 0
     for path in options.settings:
         found = _find_faults(path)
--- a/src/lifttrestle/internal/cli/explain.py
+++ b/src/lifttrestle/internal/cli/explain.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""``lifttrestle explain``: tells the story of one request from the logs."""
+"""``lifttrestle explain``: explains one request from logs."""
 
 import argparse
 import pathlib
@@ -29,7 +29,7 @@
 def add_commands(commands: 'argparse._SubParsersAction') -> None:
     """Add the command to the command line."""
     parser = commands.add_parser(
-        'explain', help="print one request's story from the routers' logs"
+        'explain', help="explain one request from the routers' logs"
     )
     parser.add_argument('request_id', metavar='REQUEST_ID')
     parser.add_argument(
@@ -42,7 +42,7 @@
 
 
 def run(options: argparse.Namespace) -> int:
-    """Print the story; exit 1 if the logs do not know the request."""
+    """Print the explanation; return 1 if the logs lack the request."""
     try:
         explanation = explain(options.request_id, options.logs)
     except UnknownRequest as error:
--- a/src/lifttrestle/internal/cli/faults.py
+++ b/src/lifttrestle/internal/cli/faults.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""How commands say that they could not do their work."""
+"""Error output and exit code of commands that failed."""
 
 import sys
 
@@ -18,6 +18,6 @@
 
 
 def report_fault(error: Exception, remedy: str) -> int:
-    """Print an error and what to do about it; return the exit code."""
+    """Print an error and its remedy to stderr; return the exit code."""
     print(f'{error}; {remedy}', file=sys.stderr)
     return EXIT_FAULT
--- a/src/lifttrestle/internal/cli/fleet_router.py
+++ b/src/lifttrestle/internal/cli/fleet_router.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""``lifttrestle fleet-router``: runs a router on the users' platform."""
+"""``lifttrestle fleet-router``: runs a router on the platform."""
 
 import argparse
 import gc
@@ -37,10 +37,10 @@
 LOG = get_event_log('router')
 EXIT_OK = 0
 EXIT_FAILED = 1
-# A call to the store answers in 4 ms, in 0.4 s when it is slow.
-STORE_SECONDS = 0.8
-# A report or an order is answered in a few ms.
-ENGINE_SECONDS = 0.5
+# A call to the store usually takes 4 ms, and 0.4 s when the store is slow.
+STORE_TIMEOUT_SECONDS = 0.8
+# Engines answer a request for a report or a load order within a few ms.
+ENGINE_TIMEOUT_SECONDS = 0.5
 
 
 def add_commands(commands: 'argparse._SubParsersAction') -> None:
@@ -60,11 +60,11 @@
         '--metrics-port',
         type=int,
         default=0,
-        help='serve metrics as text at this port; 0 for nowhere',
+        help='serve metrics as text on this port; 0 disables this',
     )
     parser.add_argument(
         '--statsd',
-        type=_read_statsd,
+        type=_parse_statsd,
         default=StatsdSection(),
         metavar='HOST:PORT',
         help='send the same metrics to a statsd server every 10 s',
@@ -73,7 +73,10 @@
 
 
 def run(options: argparse.Namespace) -> int:
-    """Run until a signal; exit 0 if every request was ended, without fault."""
+    """Serve until a signal or a fault.
+
+    :return: 0 if every request was ended and no control task failed, else 1.
+    """
     path = find_node_file(options.settings)
     settings = load_node_settings(path, options.metrics_port)
     ignore_hangup()
@@ -90,7 +93,7 @@
     options: argparse.Namespace,
     sink: EventSink,
 ) -> int:
-    # Imported here so that the operator's commands start without it.
+    # Imported here so that the operators' commands start without it.
     from lifttrestle.internal.fleet.process import FleetRouterProcess
     from lifttrestle.internal.http.address import parse_address
     from lifttrestle.internal.http.json_client import JsonClient
@@ -101,12 +104,13 @@
     from lifttrestle.internal.telemetry.metrics import Metrics
     from lifttrestle.internal.telemetry.statsd_feed import StatsdFeed
 
-    # Modules and their classes are no garbage to look for.
+    # Modules and classes live as long as the process, so that the garbage
+    # collector need not traverse them.
     gc.freeze()
     gc.enable()
     clock = SystemClock()
     client = JsonClient(
-        parse_address(settings.store.address), clock, STORE_SECONDS
+        parse_address(settings.store.address), clock, STORE_TIMEOUT_SECONDS
     )
     process = FleetRouterProcess(
         settings,
@@ -115,55 +119,57 @@
         PlatformRowStore(client),
         PlatformFormat(),
         PlatformDialect(),
-        engine_calls.PlatformEngineControl(clock, ENGINE_SECONDS),
+        engine_calls.PlatformEngineControl(clock, ENGINE_TIMEOUT_SECONDS),
     )
     file = SettingsFile(path, options.metrics_port)
-    beside = [
+    control_tasks = [
         process.follow_settings(file.read_changed),
         sink.run(process.ticker),
     ]
     feed = None
     if options.statsd.host:
         feed = StatsdFeed(process.registry, Metrics(options.statsd), clock)
-        beside.append(feed.run())
-    whole = await process.run(*beside)
+        control_tasks.append(feed.run())
+    succeeded = await process.run(*control_tasks)
     if feed is not None:
-        # What has changed since, the stop's own counts among it.
+        # Sends what has changed since the last feed, including the counts of
+        # the shutdown.
         feed.feed()
     ignore_signals()
-    return EXIT_OK if whole else EXIT_FAILED
+    return EXIT_OK if succeeded else EXIT_FAILED
 
 
-def _read_statsd(text: str) -> StatsdSection:
+def _parse_statsd(text: str) -> StatsdSection:
     host, _, port = text.rpartition(':')
     if not host or not port.isdecimal():
         raise argparse.ArgumentTypeError(
-            f'{text!r} is no HOST:PORT, such as 10.0.0.7:8125'
+            f'{text!r} is not HOST:PORT, such as 10.0.0.7:8125'
         )
     return StatsdSection(host=host, port=int(port))
 
 
 class SettingsFile:
-    """The file that the platform may write anew at any time."""
+    """A settings file that the platform may rewrite at any time."""
 
     def __init__(self, path: pathlib.Path, metrics_port: int) -> None:
         self._path = path
         self._metrics_port = metrics_port
-        self._seen = b''
+        self._last_content = b''
 
     def read_changed(self) -> FleetSettings | None:
-        """Return the settings, None if they are as before or unusable.
+        """Return the settings, or None if they are unchanged or invalid.
 
-        Each router looks every few seconds, and they hardly ever change.
+        Unchanged content is not parsed again, as each router reads the file
+        every few seconds and it rarely changes.
         """
         try:
             content = self._path.read_bytes()
         except OSError as error:
             LOG.error('router.settings_refused', faults=[str(error)])
             return None
-        if content == self._seen:
+        if content == self._last_content:
             return None
-        self._seen = content
+        self._last_content = content
         result = check_node_settings(self._path, self._metrics_port)
         if isinstance(result, Failure):
             faults = [str(fault) for fault in result.failure()]
--- a/src/lifttrestle/internal/cli/held.py
+++ b/src/lifttrestle/internal/cli/held.py
@@ -10,7 +10,10 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""``lifttrestle held``: the requests that run no more, and their way back."""
+"""``lifttrestle held``: lists held requests and lifts holds.
+
+Routers hold a request that crashes upstreams, so that it is not run again.
+"""
 
 import argparse
 import asyncio
@@ -40,8 +43,8 @@
 
 EXIT_OK = 0
 EXIT_UNKNOWN = 1
-# A call to the store answers in 4 ms, in 0.4 s when it is slow.
-STORE_SECONDS = 2.0
+# A call to the store usually takes 4 ms, and 0.4 s when the store is slow.
+STORE_TIMEOUT_SECONDS = 2.0
 MILLISECONDS = 1000
 COLUMNS = '{:18} {:25} {:>7} {:20} {:16} {:6} {}'
 HEADINGS = ('DIGEST', 'HELD AT', 'CRASHED', 'WORKSPACE', 'ROUTE', 'TRIALS')
@@ -73,25 +76,36 @@
 
 
 def run(options: argparse.Namespace) -> int:
-    """List what is held, or lift one; exit 1 if that one is not held."""
+    """List the held requests, or lift one hold.
+
+    :return: 1 if the request to lift is not held, 2 if the store failed or the
+        row changed meanwhile, else 0.
+    """
     settings = load_node_settings(find_node_file(options.settings))
     address = parse_address(settings.store.address)
-    store = PlatformRowStore(JsonClient(address, SystemClock(), STORE_SECONDS))
+    store = PlatformRowStore(
+        JsonClient(address, SystemClock(), STORE_TIMEOUT_SECONDS)
+    )
     try:
         if options.lift:
             return asyncio.run(lift(store, options.lift))
         rows = asyncio.run(list_held(store))
     except (PlatformUnavailable, ConditionFailed) as error:
-        return report_fault(error, 'see that the store answers; try again')
+        return report_fault(
+            error, 'check that the store answers, then try again'
+        )
     print(render_json(rows) if options.json else render_table(rows))
     return EXIT_OK
 
 
 async def list_held(store: RowStore) -> dict[str, HeldRow]:
-    """Return the rows of held requests by digest, the oldest first."""
+    """Return the rows of held requests by digest, oldest first.
+
+    A row that cannot be decoded is reported to stderr and skipped.
+    """
     held = {}
     for row in await _read_rows(store):
-        assert row.value is not None, 'a table holds rows with values'
+        assert row.value is not None, 'a row of a table has a value'
         try:
             held[row.key.removeprefix(HELD_PREFIX)] = decode_held_row(
                 row.value
@@ -111,7 +125,7 @@
         print(f'{digest}: lifted')
         return EXIT_OK
     print(
-        f'{digest} is not held; list what is with "lifttrestle held"',
+        f'{digest} is not held; "lifttrestle held" lists the held requests',
         file=sys.stderr,
     )
     return EXIT_UNKNOWN
@@ -121,13 +135,14 @@
     try:
         table = await store.read_table(FLEET_TABLE)
     finally:
-        # Each call has a loop of its own, with connections of its own.
+        # The connections belong to the event loop of this call, and each call
+        # has its own.
         store.close()
     return [row for row in table.rows if row.key.startswith(HELD_PREFIX)]
 
 
 def render_json(rows: dict[str, HeldRow]) -> str:
-    """Return the rows as one JSON object a line."""
+    """Return the rows as JSON, one object per line."""
     return '\n'.join(
         msgspec.json.encode(
             {'digest': digest, **msgspec.structs.asdict(row)}
@@ -137,7 +152,7 @@
 
 
 def render_table(rows: dict[str, HeldRow]) -> str:
-    """Return the rows as a table."""
+    """Return the rows as a table with headings; times are in UTC."""
     lines = [COLUMNS.format(*HEADINGS, 'BY')]
     for digest, row in rows.items():
         held_at = datetime.datetime.fromtimestamp(
--- a/src/lifttrestle/internal/cli/intent_client.py
+++ b/src/lifttrestle/internal/cli/intent_client.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Calls the intent API of one router."""
+"""Client of the intent API of one router."""
 
 import asyncio
 import pathlib
@@ -26,11 +26,14 @@
 
 
 class IntentClient:
-    """Sends one call with the operator's token.
+    """Sends calls with the operator's token.
 
-    :param token_file: a file that holds the token alone, so that it stands
-        neither in the command line nor in the shell's history.
-    :param authority: certificates to trust, or None for plain TCP.
+    :param token_file: a file that contains the token only, which keeps it out
+        of the command line and of the shell's history.
+    :param authority: a file of CA certificates to trust, or None for plain
+        TCP.
+    :raises SettingsInvalid: if the address is malformed or the token can't be
+        read.
     """
 
     def __init__(
@@ -46,7 +49,7 @@
             self._tls = ssl.create_default_context(cafile=str(authority))
 
     def call(self, method: str, target: str, content: object) -> Answer:
-        """Return the router's answer."""
+        """Send one request with a JSON body and return the router's answer."""
         return asyncio.run(self._call(method, target, content))
 
     async def _call(self, method: str, target: str, content: object) -> Answer:
--- a/src/lifttrestle/internal/cli/limits.py
+++ b/src/lifttrestle/internal/cli/limits.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""The command that lists the limits that upstreams have named."""
+"""``lifttrestle limits``: lists the rate limits that upstreams reported."""
 
 import argparse
 import asyncio
@@ -27,8 +27,8 @@
 from lifttrestle.internal.intake.decoding import decode_json
 
 EXIT_OK = 0
-# A router that is busy answers in some hundred milliseconds.
-ANSWER_SECONDS = 2.0
+# A busy router answers within a few hundred milliseconds.
+ANSWER_TIMEOUT_SECONDS = 2.0
 TITLES = (
     'UPSTREAM',
     'DATA CENTRE',
@@ -43,23 +43,27 @@
 def add_commands(commands: 'argparse._SubParsersAction') -> None:
     """Add the command to the command line."""
     parser = commands.add_parser(
-        'limits', help='list the upstreams that take few requests'
+        'limits', help='list the upstreams that reported a rate limit'
     )
     parser.add_argument(
         'routers',
         nargs='+',
         metavar='ADDRESS',
-        help='where a router serves its metrics, HOST:PORT',
+        help='HOST:PORT at which a router serves its metrics',
     )
     parser.set_defaults(run=run)
 
 
 def run(options: argparse.Namespace) -> int:
-    """Print a line for each upstream and router that was asked."""
+    """Print a line for each limited upstream of each router.
+
+    :return: 2 if an address is malformed or a router gave no valid answer,
+        else 0.
+    """
     try:
         addresses = [parse_address(text) for text in options.routers]
     except ValueError as error:
-        return report_fault(error, 'write HOST:PORT of its metrics')
+        return report_fault(error, "write HOST:PORT of a router's metrics")
     return asyncio.run(_print_limits(addresses))
 
 
@@ -67,7 +71,7 @@
     rows: list[tuple[str, ...]] = [TITLES]
     code = EXIT_OK
     for address in addresses:
-        client = JsonClient(address, SystemClock(), ANSWER_SECONDS)
+        client = JsonClient(address, SystemClock(), ANSWER_TIMEOUT_SECONDS)
         try:
             answer = await client.call('GET', LIMITS_PATH)
             listed = decode_json(answer.body, list[ListedLimit])
@@ -85,13 +89,13 @@
 
 def _build_row(item: ListedLimit, address: Address) -> tuple[str, ...]:
     rate = 'ended' if item.rate is None else f'{item.rate:g}'
-    gives = item.share > 0
+    is_allocator = item.share > 0
     return (
         item.start,
         item.data_centre,
         rate,
-        f'{item.used:.2f}' if gives else '-',
-        f'{item.share:g}' if gives else '-',
+        f'{item.used:.2f}' if is_allocator else '-',
+        f'{item.share:g}' if is_allocator else '-',
         f'{item.age:.1f}',
         str(address),
     )
--- a/src/lifttrestle/internal/cli/losses.py
+++ b/src/lifttrestle/internal/cli/losses.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""``lifttrestle losses``: which requests were lost or late, when and why."""
+"""``lifttrestle losses``: counts lost and late requests by time and cause."""
 
 import argparse
 import datetime
@@ -25,10 +25,10 @@
 from lifttrestle.internal.telemetry.losses import render_table
 
 EXIT_OK = 0
-EXIT_NONE = 1
+EXIT_NO_REQUESTS = 1
 WINDOW_SECONDS = 2.0
-INCHES = (10, 4)
-INSTALL = "install the extra: pip install 'lifttrestle[plots]'"
+FIGURE_INCHES = (10, 4)
+INSTALL_REMEDY = "install the extra: pip install 'lifttrestle[plots]'"
 
 
 def add_commands(commands: 'argparse._SubParsersAction') -> None:
@@ -41,16 +41,16 @@
     )
     parser.add_argument(
         '--window',
-        type=_read_seconds,
+        type=_parse_seconds,
         default=datetime.timedelta(seconds=WINDOW_SECONDS),
         metavar='SECONDS',
-        help='span of one row of the table (default: %(default)s)',
+        help='duration of one row of the table (default: %(default)s)',
     )
     parser.add_argument(
         '--picture',
         type=pathlib.Path,
         metavar='FILE',
-        help='also draw the table, as PNG or SVG by the name of the file;'
+        help='also plot the table, as PNG or SVG by the suffix of the file;'
         " needs the extra 'plots'",
     )
     parser.add_argument(
@@ -60,13 +60,13 @@
 
 
 def run(options: argparse.Namespace) -> int:
-    """Print the losses; exit 1 if the logs tell of no request."""
+    """Print the losses; return 1 if no request ends in the logs."""
     try:
         losses = find_losses(options.logs, options.window)
         if options.picture is not None:
-            _draw(losses, options.picture)
+            _plot(losses, options.picture)
     except ModuleNotFoundError as error:
-        return report_fault(error, INSTALL)
+        return report_fault(error, INSTALL_REMEDY)
     except OSError as error:
         return report_fault(error, 'give files that can be read and written')
     if not losses.windows:
@@ -75,32 +75,32 @@
             ' fleet routers',
             file=sys.stderr,
         )
-        return EXIT_NONE
+        return EXIT_NO_REQUESTS
     render = render_json if options.json else render_table
     print(render(losses))
     return EXIT_OK
 
 
-def _read_seconds(text: str) -> datetime.timedelta:
+def _parse_seconds(text: str) -> datetime.timedelta:
     try:
         seconds = float(text)
     except ValueError:
         seconds = 0.0
     if not 0 < seconds < datetime.timedelta.max.total_seconds():
         raise argparse.ArgumentTypeError(
-            f'{text!r} is no span of time; give seconds above 0, as 2 or 0.5'
+            f'{text!r} is not a duration; give seconds above 0, as 2 or 0.5'
         )
     return datetime.timedelta(seconds=seconds)
 
 
-def _draw(losses: Losses, path: pathlib.Path) -> None:
-    """Draw the outcomes over time.
+def _plot(losses: Losses, path: pathlib.Path) -> None:
+    """Plot the number of requests with each outcome over time.
 
-    :raises ModuleNotFoundError: without the optional dependency.
+    :raises ModuleNotFoundError: if matplotlib is not installed.
     """
     from matplotlib.figure import Figure
 
-    figure = Figure(figsize=INCHES, layout='constrained')
+    figure = Figure(figsize=FIGURE_INCHES, layout='constrained')
     axes = figure.add_subplot()
     times = [window.after.total_seconds() for window in losses.windows]
     axes.stackplot(
--- a/src/lifttrestle/internal/cli/main.py
+++ b/src/lifttrestle/internal/cli/main.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""The command line: one program with subcommands."""
+"""Entry point of the command line."""
 
 import argparse
 import importlib
@@ -20,7 +20,7 @@
 from lifttrestle.internal.cli.faults import EXIT_FAULT
 
 PACKAGE = 'lifttrestle.internal.cli'
-# The modules of commands, in the order in which help lists them.
+# Modules that define the commands, in the order in which help lists them.
 MODULES = (
     'router',
     'fleet_router',
@@ -33,26 +33,30 @@
     'replay',
     'standin',
 )
-# Commands that load nothing but their own module. A router that is killed is
-# started again at once; without the other commands it imports 426 modules,
-# not 491, in 0.27 and 0.33 s of processor time, not 0.31 and 0.34 s.
-ALONE = {'router': 'router', 'fleet-router': 'fleet_router'}
+# Commands for which only their own module is imported, as a killed router is
+# restarted at once. Without the other commands it imports 426 modules, not
+# 491, in 0.27 and 0.33 s of processor time, not 0.31 and 0.34 s.
+SINGLE_MODULE_COMMANDS = {'router': 'router', 'fleet-router': 'fleet_router'}
 
 
 def build_parser(command: str = '') -> argparse.ArgumentParser:
-    """Return the parser of the whole command line.
+    """Return the parser of the command line.
 
-    :param command: the one that will be asked for, if that is known; the
-        others may then be missing.
+    :param command: name of the command to be parsed, if it is known; the
+        parser may then lack the others.
     """
     parser = argparse.ArgumentParser(
         prog='lifttrestle',
-        description='Routes language-model traffic and keeps it in its place.',
+        description='Routes language-model traffic and limits where it runs.',
     )
     commands = parser.add_subparsers(
         title='commands', dest='command', required=True, metavar='COMMAND'
     )
-    modules = (ALONE[command],) if command in ALONE else MODULES
+    modules = (
+        (SINGLE_MODULE_COMMANDS[command],)
+        if command in SINGLE_MODULE_COMMANDS
+        else MODULES
+    )
     for name in modules:
         module = importlib.import_module(f'{PACKAGE}.{name}')
         module.add_commands(commands)
@@ -60,7 +64,11 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Run one command and return its exit code."""
+    """Run one command and return its exit code.
+
+    :param arguments: the command line without the program; None for that of
+        the process.
+    """
     if arguments is None:
         arguments = sys.argv[1:]
     parser = build_parser(arguments[0] if arguments else '')
--- a/src/lifttrestle/internal/cli/node_file.py
+++ b/src/lifttrestle/internal/cli/node_file.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Reads the settings that the users' platform writes for one router."""
+"""Reads the settings file that the platform writes for one router."""
 
 import os
 import pathlib
@@ -26,7 +26,7 @@
 
 
 def find_node_file(given: pathlib.Path | None) -> pathlib.Path:
-    """Return the file that was given, or the one that the platform names."""
+    """Return the given path, or that in the platform's variable."""
     return given or pathlib.Path(os.environ.get(SETTINGS_VARIABLE, ''))
 
 
@@ -35,7 +35,8 @@
 ) -> FleetSettings:
     """Return the settings in a file.
 
-    :raises SettingsInvalid: with every fault of the file.
+    :param metrics_port: port on which to serve metrics; 0 disables this.
+    :raises SettingsInvalid: with every fault of the file, one per line.
     """
     result = check_node_settings(path, metrics_port)
     if isinstance(result, Failure):
--- a/src/lifttrestle/internal/cli/operator.py
+++ b/src/lifttrestle/internal/cli/operator.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""The operators' commands: clients of the intent API."""
+"""Commands for operators, which call the intent API of a router."""
 
 import argparse
 import pathlib
@@ -32,7 +32,7 @@
 
 
 class ChangeFile(msgspec.Struct, forbid_unknown_fields=True):
-    """A TOML file of changes: tables of items to set, names to remove."""
+    """A TOML file of changes: items to set, names of items to remove."""
 
     workspace: tuple[dict[str, object], ...] = ()
     model: tuple[dict[str, object], ...] = ()
@@ -42,28 +42,37 @@
 
 def add_commands(commands: 'argparse._SubParsersAction') -> None:
     """Add the commands to the command line."""
-    plan = _add(commands, 'plan', 'make a plan from a file of changes', _plan)
+    plan = _add_command(
+        commands, 'plan', 'make a plan from a file of changes', _plan
+    )
     plan.add_argument('changes', type=pathlib.Path, metavar='CHANGES')
-    confirm = _add(commands, 'confirm', 'put a plan in force', _confirm)
+    confirm = _add_command(
+        commands, 'confirm', 'put a plan in force', _confirm
+    )
     confirm.add_argument('plan_id', metavar='PLAN')
     confirm.add_argument(
         '--wait', type=float, default=DEFAULT_WAIT_SECONDS, metavar='SECONDS'
     )
     for name, text, run in (
-        ('show', 'show a plan and who holds it up', _show),
-        ('withdraw', 'take a plan back before it is accepted', _withdraw),
+        ('show', 'show a plan and the routers it waits for', _show),
+        ('withdraw', 'withdraw a plan before it is accepted', _withdraw),
     ):
-        parser = _add(commands, name, text, run)
+        parser = _add_command(commands, name, text, run)
         parser.add_argument('plan_id', metavar='PLAN')
-    _add(commands, 'status', 'show what a router knows', _status)
-    workspace = _add(
+    _add_command(commands, 'status', 'show the state of a router', _status)
+    workspace = _add_command(
         commands, 'workspace', 'list the workspaces, or show one', _workspace
     )
     workspace.add_argument('name', nargs='?', default='', metavar='NAME')
 
 
 def read_changes(path: pathlib.Path) -> list[Change]:
-    """Return the changes in a TOML file."""
+    """Return the changes in a TOML file.
+
+    :raises OSError: if the file can't be read.
+    :raises ValueError: if its content is malformed.
+    :raises KeyError: if an item to remove lacks its kind or name.
+    """
     text = path.read_text(encoding='utf-8')
     content = msgspec.toml.decode(text, type=ChangeFile)
     changes = [
@@ -77,10 +86,13 @@
     return changes
 
 
-def _add(
-    commands: 'argparse._SubParsersAction', name: str, text: str, run: object
+def _add_command(
+    commands: 'argparse._SubParsersAction',
+    name: str,
+    help_text: str,
+    run: object,
 ) -> argparse.ArgumentParser:
-    parser = commands.add_parser(name, help=text)
+    parser = commands.add_parser(name, help=help_text)
     parser.add_argument(
         '--router',
         required=True,
@@ -109,14 +121,14 @@
     except (OSError, ValueError, KeyError) as error:
         print(f'{options.changes}: {error}', file=sys.stderr)
         return EXIT_REFUSED
-    call = {'changes': changes}
-    return _call(options, 'POST', '/intent/plans', call, print_outcome)
+    content = {'changes': changes}
+    return _call(options, 'POST', '/intent/plans', content, print_outcome)
 
 
 def _confirm(options: argparse.Namespace) -> int:
     target = f'/intent/plans/{options.plan_id}/confirm'
-    call = {'wait_seconds': options.wait}
-    return _call(options, 'POST', target, call, print_outcome)
+    content = {'wait_seconds': options.wait}
+    return _call(options, 'POST', target, content, print_outcome)
 
 
 def _show(options: argparse.Namespace) -> int:
--- a/src/lifttrestle/internal/cli/replay.py
+++ b/src/lifttrestle/internal/cli/replay.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""``lifttrestle replay`` and ``lifttrestle trace``."""
+"""``lifttrestle replay``, ``goodput`` and ``trace``: simulations on traces."""
 
 import argparse
 from collections.abc import Mapping
@@ -43,7 +43,7 @@
 def add_commands(commands: 'argparse._SubParsersAction') -> None:
     """Add the commands to the command line."""
     replay = commands.add_parser(
-        'replay', help='replay a trace against its stated outcomes'
+        'replay', help='replay a trace and check its stated outcomes'
     )
     replay.add_argument('trace', type=pathlib.Path, metavar='TRACE')
     replay.add_argument(
@@ -66,7 +66,7 @@
     )
     goodput.add_argument('trace', type=pathlib.Path, metavar='TRACE')
     goodput.add_argument(
-        '--speed', type=_read_speeds, default=SPEEDS, metavar='X[,X]'
+        '--speed', type=_parse_speeds, default=SPEEDS, metavar='X[,X]'
     )
     goodput.add_argument('--running', type=int, default=27)
     goodput.add_argument('--queue', type=int, default=64)
@@ -81,7 +81,7 @@
 
 
 def run_trace(options: argparse.Namespace) -> int:
-    """Write a generated trace."""
+    """Generate a trace from a scenario and a seed, and write it."""
     trace = generate_trace(SCENARIOS[options.scenario], options.seed)
     write_trace(options.output, trace)
     print(f'{options.output}: {len(trace.requests)} requests')
@@ -89,9 +89,9 @@
 
 
 def run_replay(options: argparse.Namespace) -> int:
-    """Replay a trace; exit 1 where a stated outcome differs."""
-    policies = _choose('policy', options.policy, POLICIES)
-    faults = _choose('fault', options.fault, FAULTS)
+    """Replay a trace; return 1 if a figure violates a stated outcome."""
+    policies = _parse_names('policy', options.policy, POLICIES)
+    faults = _parse_names('fault', options.fault, FAULTS)
     trace = read_trace(options.trace)
     figures = [
         Replay(
@@ -114,7 +114,7 @@
 
 
 def run_goodput(options: argparse.Namespace) -> int:
-    """Replay a trace behind admission queues at several speeds."""
+    """Replay a trace through admission queues at several speeds."""
     trace = read_trace(options.trace)
     figures = [
         GoodputReplay(
@@ -146,20 +146,22 @@
     return EXIT_OK
 
 
-def _read_speeds(text: str) -> tuple[float, ...]:
+def _parse_speeds(text: str) -> tuple[float, ...]:
     speeds = tuple(float(part) for part in text.split(','))
     if not all(speed > 0 for speed in speeds):
         raise argparse.ArgumentTypeError(f'{text!r}: write numbers above 0')
     return speeds
 
 
-def _choose(option: str, text: str, known: Mapping[str, object]) -> list[str]:
+def _parse_names(
+    option: str, text: str, available: Mapping[str, object]
+) -> list[str]:
     names = text.split(',')
     for name in names:
-        if name not in known:
+        if name not in available:
             raise SettingsInvalid(
-                f'--{option} {name!r} is not known; use any of:'
-                f' {", ".join(known)}'
+                f'--{option} {name!r} is unknown; use any of:'
+                f' {", ".join(available)}'
             )
     return names
 
--- a/src/lifttrestle/internal/cli/router.py
+++ b/src/lifttrestle/internal/cli/router.py
@@ -36,13 +36,16 @@
         '--record',
         type=pathlib.Path,
         metavar='FILE',
-        help='write a trace of the requests, of hashes and lengths only',
+        help='write a trace of the requests, with hashes and lengths only',
     )
     parser.set_defaults(run=run)
 
 
 def run(options: argparse.Namespace) -> int:
-    """Run until a signal; exit 0 if all ended well."""
+    """Serve until a signal or a fault.
+
+    :return: 0 if every request was ended and no control task failed, else 1.
+    """
     settings = load_settings(options.settings)
     set_up_logs(settings.log.level)
     ignore_hangup()
@@ -52,7 +55,7 @@
 async def _run_router(
     settings: RouterSettings, record: pathlib.Path | None
 ) -> int:
-    # Imported here so that the operator's commands start without it.
+    # Imported here so that the operators' commands start without it.
     from lifttrestle.internal.membership.threads import limit_threads
     from lifttrestle.internal.router.process import RouterProcess
 
@@ -60,6 +63,6 @@
     process = RouterProcess(
         settings, SystemClock(), random.SystemRandom(), record
     )
-    whole = await process.run()
+    succeeded = await process.run()
     ignore_signals()
-    return EXIT_OK if whole else EXIT_FAILED
+    return EXIT_OK if succeeded else EXIT_FAILED
--- a/src/lifttrestle/internal/cli/signals.py
+++ b/src/lifttrestle/internal/cli/signals.py
@@ -10,39 +10,41 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Signals at the edges of a process's life, where no event loop handles them.
+"""Signal handling before the event loop starts and after it has stopped.
 
-Where a signal has no handler it takes its default way, which ends the process
-and takes its exit code from it.
+A signal without a handler has its default action, which ends the process, so
+that its exit code is lost.
 """
 
 import asyncio
 import signal
 
-# What a process is told from outside while it serves.
+# Signals that a router handles while it serves.
 HANDLED = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
 
 
 def ignore_hangup() -> None:
-    """Let SIGHUP do nothing until the event loop handles it.
+    """Ignore SIGHUP until the event loop handles it.
 
-    Nothing is lost by that: settings that follow their file are looked at
-    every few seconds as well, and others are read at the start only.
+    No change of the settings is missed: a router that reloads its settings
+    also reads the file every few seconds, and other routers read it only at
+    the start.
     """
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
 
 def ignore_signals() -> None:
-    """Let the signals do nothing to a process that ends by itself.
+    """Ignore signals in a process that is about to exit.
 
-    The event loop gives its handlers back when it closes, and the interpreter
-    takes some 0.1 s more to end: a signal would end a process that has served
-    everything, and take its exit code from it. Signals are held back while
-    neither the loop's handler nor the new one is in force.
+    The event loop removes its handlers when it closes, and the interpreter
+    takes another 0.1 s or so to exit. A signal in between would end a process
+    that has served every request, and its exit code would be lost. Signals are
+    blocked between the removal of the loop's handler and the installation of
+    the new one.
     """
     loop = asyncio.get_running_loop()
-    held = signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED)
+    previous_mask = signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED)
     for number in HANDLED:
         loop.remove_signal_handler(number)
         signal.signal(number, signal.SIG_IGN)
-    signal.pthread_sigmask(signal.SIG_SETMASK, held)
+    signal.pthread_sigmask(signal.SIG_SETMASK, previous_mask)
--- a/src/lifttrestle/internal/cli/standin.py
+++ b/src/lifttrestle/internal/cli/standin.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""``lifttrestle standin``: runs a stand-in for an outside system."""
+"""``lifttrestle standin``: runs a stand-in for an external system."""
 
 import argparse
 import asyncio
@@ -31,12 +31,12 @@
 def add_commands(commands: 'argparse._SubParsersAction') -> None:
     """Add the command to the command line."""
     parser = commands.add_parser(
-        'standin', help='run a stand-in for an outside system'
+        'standin', help='run a stand-in for an external system'
     )
     kinds = parser.add_subparsers(
         title='stand-ins', dest='kind', required=True, metavar='KIND'
     )
-    engine = _add(kinds, 'engine', _make_engine)
+    engine = _add_kind(kinds, 'engine', _make_engine)
     engine.add_argument('--name', default='engine')
     engine.add_argument(
         '--model',
@@ -50,11 +50,11 @@
     engine.add_argument('--prefill-rate', type=float, default=200000.0)
     engine.add_argument('--decode-seconds', type=float, default=0.002)
     engine.add_argument('--ignore-fencing', action='store_true')
-    service = _add(kinds, 'service', _make_service)
+    service = _add_kind(kinds, 'service', _make_service)
     service.add_argument('--name', default='service')
-    _add(kinds, 'table', _make_table)
-    _add(kinds, 'objects', _make_objects)
-    vms = _add(kinds, 'vms', _make_vms)
+    _add_kind(kinds, 'table', _make_table)
+    _add_kind(kinds, 'objects', _make_objects)
+    vms = _add_kind(kinds, 'vms', _make_vms)
     vms.add_argument(
         '--vm', action='append', default=[], metavar='NAME=DATA_CENTRE'
     )
@@ -71,7 +71,7 @@
     await run_until_signal(options.kind, server, options.listen)
 
 
-def _add(
+def _add_kind(
     kinds: 'argparse._SubParsersAction', name: str, make: object
 ) -> argparse.ArgumentParser:
     parser = kinds.add_parser(name)
@@ -107,5 +107,7 @@
 
 def _make_vms(options: argparse.Namespace) -> StandinServer:
     pairs = (item.split('=', 1) for item in options.vm)
-    vms = tuple(Vm(name, place, VmState.LIVE) for name, place in pairs)
+    vms = tuple(
+        Vm(name, data_centre, VmState.LIVE) for name, data_centre in pairs
+    )
     return VmsStandin(vms).server
--- a/src/lifttrestle/internal/cli/tables.py
+++ b/src/lifttrestle/internal/cli/tables.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Prints the intent API's answers for people."""
+"""Prints answers of the intent API as text."""
 
 import typing
 
@@ -18,7 +18,7 @@
 
 
 def print_outcome(body: Body) -> None:
-    """Print a plan, its differences and who holds it up."""
+    """Print a plan, its differences and the routers that it waits for."""
     plan = body['plan']
     print(f'plan      {plan["plan_id"]}')
     print(f'state     {plan["state"]}')
@@ -33,9 +33,9 @@
 
 
 def print_status(body: Body) -> None:
-    """Print a router's view."""
+    """Print the state of a router and of its upstreams."""
     print(f'router    {body["router"]} in {body["data_centre"]}')
-    print(f'ready     {_say(body["ready"])}')
+    print(f'ready     {_format_bool(body["ready"])}')
     print(f'revision  {body["revision"]} {body["digest"][:12]}')
     print(f'proposal  {body["proposal"] or "none"}')
     print(f'table     {"answers" if body["table_up"] else "is out"}')
@@ -56,7 +56,7 @@
 
 
 def print_items(body: typing.Any) -> None:
-    """Print one workspace in full, or one line for each."""
+    """Print all fields of one workspace, or a table of workspaces."""
     if isinstance(body, dict):
         for key, value in body.items():
             print(f'{key:22}{value}')
@@ -75,12 +75,12 @@
 
 
 def print_rows(rows: list[tuple[str, ...]]) -> None:
-    """Print rows in columns; the first row holds the titles."""
+    """Print rows in aligned columns; the first row contains the titles."""
     widths = [max(len(cell) for cell in column) for column in zip(*rows)]
     for row in rows:
         cells = (cell.ljust(width) for cell, width in zip(row, widths))
         print('  '.join(cells).rstrip())
 
 
-def _say(value: bool) -> str:
+def _format_bool(value: bool) -> str:
     return 'yes' if value else 'no'
