--- a/src/lifttrestle/internal/cli/signals.py
+++ b/src/lifttrestle/internal/cli/signals.py
@@ -20,7 +20,7 @@
 import signal
 
 # Signals that a router handles while it serves.
-HANDLED = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
+HANDLED_SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
 
 
 def ignore_hangup() -> None:
@@ -43,8 +43,8 @@
     the new one.
     """
     loop = asyncio.get_running_loop()
-    previous_mask = signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED)
-    for number in HANDLED:
+    previous_mask = signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
+    for number in HANDLED_SIGNALS:
         loop.remove_signal_handler(number)
         signal.signal(number, signal.SIG_IGN)
     signal.pthread_sigmask(signal.SIG_SETMASK, previous_mask)
--- a/tests/nocover/test_fleet_stop_found.py
+++ b/tests/nocover/test_fleet_stop_found.py
@@ -108,13 +108,13 @@
 import os
 import signal
 
-from lifttrestle.internal.cli.signals import HANDLED
+from lifttrestle.internal.cli.signals import HANDLED_SIGNALS
 from lifttrestle.internal.cli.signals import ignore_signals
 
 
 async def main():
     loop = asyncio.get_running_loop()
-    for number in HANDLED:
+    for number in HANDLED_SIGNALS:
         loop.add_signal_handler(number, print)
     remove = loop.remove_signal_handler
 
