--- a/src/lifttrestle/internal/cli/node_file.py
+++ b/src/lifttrestle/internal/cli/node_file.py
@@ -26,7 +26,7 @@
 
 
 def find_node_file(given: pathlib.Path | None) -> pathlib.Path:
-    """Return the given path, or that in the platform's variable."""
+    """Return the given path, or the one in ``SETTINGS_VARIABLE``."""
     return given or pathlib.Path(os.environ.get(SETTINGS_VARIABLE, ''))
 
 
