--- a/tests/cover/test_upstream_starts.py
+++ b/tests/cover/test_upstream_starts.py
@@ -158,7 +158,7 @@
         tracker.add(upstream, LoadOrder('m', 2, 'r', 1, 0), True)
         state = asyncio.run(tracker.read_state(upstream))
         self.clock.advance(0.1)
-        asyncio.run(tracker.follow())
+        asyncio.run(tracker.poll())
         return state, len(tracker)
 
     def test_report_of_the_known_start_is_believed(self):
