--- a/src/lifttrestle/internal/operators/handler.py
+++ b/src/lifttrestle/internal/operators/handler.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""The operators' side of a router: the intent API over HTTP."""
+"""HTTP handler of the intent API, which operators use."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -45,7 +45,7 @@
 from lifttrestle.internal.router.readiness import Readiness
 
 LOG = logging.getLogger('lifttrestle.operators')
-JSON = (('content-type', 'application/json'),)
+JSON_HEADERS = (('content-type', 'application/json'),)
 T = typing.TypeVar('T')
 OK = 200
 CREATED = 201
@@ -54,36 +54,40 @@
 MAX_WAIT_SECONDS = 60.0
 
 
-class PlanCall(msgspec.Struct, forbid_unknown_fields=True):
-    """The body of a call that makes a plan."""
+class PlanRequest(msgspec.Struct, forbid_unknown_fields=True):
+    """Body of a request for a new plan."""
 
     changes: tuple[Change, ...]
 
 
-class ConfirmCall(msgspec.Struct, forbid_unknown_fields=True):
-    """The body of a confirmation; it may be empty."""
+class ConfirmRequest(msgspec.Struct, forbid_unknown_fields=True):
+    """Body of a confirmation; an empty body stands for the defaults.
+
+    :ivar wait_seconds: how long to wait for the plan to be accepted, limited
+        to 0 to ``MAX_WAIT_SECONDS``.
+    """
 
     wait_seconds: float = DEFAULT_WAIT_SECONDS
 
 
 @dataclasses.dataclass(frozen=True)
-class OperatorCall:
-    """One call by a known operator.
+class OperatorRequest:
+    """A request of an authorised operator.
 
-    :ivar names: the parts of the path that the route leaves open.
+    :ivar path_parameters: values of the named groups of the route's path.
     """
 
     operator: Operator
-    names: dict[str, str]
+    path_parameters: dict[str, str]
     body: bytes
 
 
-Action = Callable[[OperatorCall], Awaitable[Answer]]
+Action = Callable[[OperatorRequest], Awaitable[Answer]]
 
 
 @dataclasses.dataclass(frozen=True)
 class OperatorRoute:
-    """A method and path, the role it needs and what it does."""
+    """A method and path, the required role and the action to run."""
 
     method: str
     path: re.Pattern[str]
@@ -92,7 +96,7 @@
 
 
 class OperatorHandler:
-    """Checks the operator's role and runs the call."""
+    """Routes and authorises the requests of operators and runs them."""
 
     def __init__(
         self,
@@ -108,11 +112,11 @@
         plan = r'/intent/plans/(?P<plan_id>[0-9a-f]+)'
         items = r'/intent/items/(?P<kind>[a-z]+)'
         table: tuple[tuple[str, str, Role, Action], ...] = (
-            ('GET', r'/intent/status', Role.READER, self._status),
+            ('GET', r'/intent/status', Role.READER, self._get_status),
             ('GET', items, Role.READER, self._list_items),
             ('GET', items + r'/(?P<name>[^/]+)', Role.READER, self._get_item),
-            ('POST', r'/intent/plans', Role.PLANNER, self._plan),
-            ('GET', plan, Role.READER, self._read),
+            ('POST', r'/intent/plans', Role.PLANNER, self._make_plan),
+            ('GET', plan, Role.READER, self._read_plan),
             ('POST', plan + '/confirm', Role.CONFIRMER, self._confirm),
             ('POST', plan + '/withdraw', Role.CONFIRMER, self._withdraw),
         )
@@ -124,7 +128,7 @@
     async def handle(
         self, connection: ServerConnection, head: RequestHead
     ) -> None:
-        """Answer one call."""
+        """Serve one request and send its answer."""
         request_id = make_request_id(self._parts.source)
         try:
             answer = await self._serve(connection, head)
@@ -133,13 +137,13 @@
         except (CallerGone, asyncio.CancelledError):
             raise
         except Exception:
-            LOG.exception('operators: call %s failed', request_id)
-            failed = RequestRefused(
+            LOG.exception('operators: request %s failed', request_id)
+            refusal = RequestRefused(
                 ErrorKind.INTERNAL,
-                f'the router failed at call {request_id}',
+                f'the router failed to serve request {request_id}',
                 ran=Execution.UNKNOWN,
             )
-            answer = build_refusal(failed, request_id)
+            answer = build_refusal(refusal, request_id)
         LOG.info(
             'operators: %s %s answered %d request=%s',
             head.method,
@@ -152,10 +156,12 @@
     async def _serve(
         self, connection: ServerConnection, head: RequestHead
     ) -> Answer:
-        route, names = self._find_route(head)
+        route, path_parameters = self._find_route(head)
         operator = self._tokens.authorise(head, route.role)
         body = await connection.read_body()
-        return await route.action(OperatorCall(operator, names, body))
+        return await route.action(
+            OperatorRequest(operator, path_parameters, body)
+        )
 
     def _find_route(
         self, head: RequestHead
@@ -176,65 +182,71 @@
             )
         raise RequestRefused(
             ErrorKind.NOT_FOUND,
-            f'there is no path {head.path!r}',
+            f'path {head.path!r} does not exist',
             field='path',
         )
 
-    async def _status(self, _call: OperatorCall) -> Answer:
-        return _answer(OK, build_status(self._parts, self._readiness))
+    async def _get_status(self, _request: OperatorRequest) -> Answer:
+        return _build_answer(OK, build_status(self._parts, self._readiness))
 
-    async def _list_items(self, call: OperatorCall) -> Answer:
-        kind = _read_kind(call.names['kind'])
+    async def _list_items(self, request: OperatorRequest) -> Answer:
+        kind = _parse_kind(request.path_parameters['kind'])
         items = self._parts.keeper.view.accepted.get_items(kind)
-        return _answer(
+        return _build_answer(
             OK, [encode_item(items[name]) for name in sorted(items)]
         )
 
-    async def _get_item(self, call: OperatorCall) -> Answer:
-        kind = _read_kind(call.names['kind'])
-        name = call.names['name']
+    async def _get_item(self, request: OperatorRequest) -> Answer:
+        kind = _parse_kind(request.path_parameters['kind'])
+        name = request.path_parameters['name']
         item = self._parts.keeper.view.accepted.get_items(kind).get(name)
         if item is None:
             raise RequestRefused(
                 ErrorKind.NOT_FOUND,
-                f'there is no {kind.value} {name!r}',
+                f'{kind.value} {name!r} does not exist',
                 field='name',
             )
-        return _answer(OK, encode_item(item))
+        return _build_answer(OK, encode_item(item))
 
-    async def _plan(self, call: OperatorCall) -> Answer:
-        request = _decode(call.body, PlanCall)
-        plan = await self._intent.plan(request.changes, call.operator.name)
-        return _answer(CREATED, PlanOutcome(plan, {}))
+    async def _make_plan(self, request: OperatorRequest) -> Answer:
+        content = _decode(request.body, PlanRequest)
+        plan = await self._intent.plan(content.changes, request.operator.name)
+        return _build_answer(CREATED, PlanOutcome(plan, {}))
 
-    async def _read(self, call: OperatorCall) -> Answer:
-        return _answer(OK, await self._intent.read(call.names['plan_id']))
+    async def _read_plan(self, request: OperatorRequest) -> Answer:
+        return _build_answer(
+            OK, await self._intent.read(request.path_parameters['plan_id'])
+        )
 
-    async def _confirm(self, call: OperatorCall) -> Answer:
-        request = _decode(call.body or b'{}', ConfirmCall)
-        seconds = min(max(request.wait_seconds, 0), MAX_WAIT_SECONDS)
-        outcome = await self._intent.confirm(call.names['plan_id'], seconds)
+    async def _confirm(self, request: OperatorRequest) -> Answer:
+        content = _decode(request.body or b'{}', ConfirmRequest)
+        seconds = min(max(content.wait_seconds, 0), MAX_WAIT_SECONDS)
+        outcome = await self._intent.confirm(
+            request.path_parameters['plan_id'], seconds
+        )
         LOG.info(
-            'operators: %s confirmed plan %s, it is %s',
-            call.operator.name,
+            'operators: %s confirmed plan %s; its state is %s',
+            request.operator.name,
             outcome.plan.plan_id,
             outcome.plan.state.value,
         )
         pending = outcome.plan.state is PlanState.PROPOSED
-        return _answer(ACCEPTED if pending else OK, outcome)
+        return _build_answer(ACCEPTED if pending else OK, outcome)
 
-    async def _withdraw(self, call: OperatorCall) -> Answer:
-        return _answer(OK, await self._intent.withdraw(call.names['plan_id']))
+    async def _withdraw(self, request: OperatorRequest) -> Answer:
+        return _build_answer(
+            OK, await self._intent.withdraw(request.path_parameters['plan_id'])
+        )
 
 
-def _read_kind(name: str) -> ItemKind:
+def _parse_kind(name: str) -> ItemKind:
     try:
         return ItemKind(name)
     except ValueError:
         known = ', '.join(kind.value for kind in ItemKind)
         raise RequestRefused(
             ErrorKind.NOT_FOUND,
-            f'there is no kind {name!r}; use one of: {known}',
+            f'unknown kind {name!r}; use one of: {known}',
             field='kind',
         ) from None
 
@@ -245,10 +257,10 @@
     except msgspec.MsgspecError as error:
         raise RequestRefused(
             ErrorKind.INVALID_VALUE,
-            f'the body is not as the call needs it: {error}',
+            f'the body is not valid for this request: {error}',
             field='body',
         ) from None
 
 
-def _answer(status: int, content: object) -> Answer:
-    return Answer(status, JSON, msgspec.json.encode(content))
+def _build_answer(status: int, content: object) -> Answer:
+    return Answer(status, JSON_HEADERS, msgspec.json.encode(content))
--- a/src/lifttrestle/internal/operators/intent.py
+++ b/src/lifttrestle/internal/operators/intent.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""The intent API's work: plan, confirm, withdraw, status."""
+"""Operations of the intent API: plan, read, confirm and withdraw."""
 
 import asyncio
 import random
@@ -36,16 +36,16 @@
 
 T = typing.TypeVar('T')
 PLAN_ID_BITS = 64
-STEP_SECONDS = 0.05
-MAX_TRIES = 20
+POLL_SECONDS = 0.05  # also the pause between the attempts of a write
+MAX_ATTEMPTS = 20
 RETRY_SECONDS = 2.0
 
 
 class IntentService:
-    """Makes plans and sees them through.
+    """Creates, reads, confirms and withdraws plans.
 
-    Every method raises ``RequestRefused``. A confirmation may be repeated
-    with the same plan, also after its answer was lost.
+    Every method may raise ``RequestRefused``. Confirming a plan is
+    idempotent: it may be repeated if the answer was lost.
     """
 
     def __init__(
@@ -61,7 +61,7 @@
         self._source = source
 
     async def plan(self, changes: tuple[Change, ...], made_by: str) -> Plan:
-        """Return a new plan on the accepted configuration; store it."""
+        """Make, store and return a plan based on the accepted revision."""
         try:
             revision, document = await self._store.load_document()
             plan_id = f'{self._source.getrandbits(PLAN_ID_BITS):016x}'
@@ -75,44 +75,44 @@
             )
             await self._store.save_draft(plan)
         except PlatformUnavailable as error:
-            raise _refuse_table(error) from None
+            raise _make_table_refusal(error) from None
         return plan
 
     async def read(self, plan_id: str) -> PlanOutcome:
-        """Return a plan and, if it is proposed, who holds it up."""
+        """Return a plan and, while it is proposed, who must acknowledge it."""
         try:
             plan = await self._read_plan(plan_id)
             return await self._describe(plan.value)
         except PlatformUnavailable as error:
-            raise _refuse_table(error) from None
+            raise _make_table_refusal(error) from None
 
     async def confirm(self, plan_id: str, wait_seconds: float) -> PlanOutcome:
-        """Propose a plan and wait, within a bound, for its acceptance."""
-        plan = await self._persist(lambda: self._propose(plan_id))
-        end = self._clock.monotonic() + wait_seconds
-        while not self._is_settled(plan):
+        """Propose a plan; wait up to ``wait_seconds`` for its acceptance."""
+        plan = await self._retry(lambda: self._propose(plan_id))
+        deadline = self._clock.monotonic() + wait_seconds
+        while not self._is_resolved(plan):
             self._keeper.request_poll()
-            await asyncio.sleep(STEP_SECONDS)
+            await asyncio.sleep(POLL_SECONDS)
             try:
                 plan = (await self._read_plan(plan_id)).value
             except PlatformUnavailable:
                 pass
-            if self._clock.monotonic() >= end:
+            if self._clock.monotonic() >= deadline:
                 break
         try:
             return await self._describe(plan)
         except PlatformUnavailable:
             return PlanOutcome(plan, {})
 
-    def _is_settled(self, plan: Plan) -> bool:
-        """Return whether a plan is decided and this router obeys it."""
+    def _is_resolved(self, plan: Plan) -> bool:
+        """Return whether a plan is decided and, if accepted, enforced here."""
         if plan.state is PlanState.ACCEPTED:
             return self._keeper.view.revision >= plan.revision
         return plan.state is not PlanState.PROPOSED
 
     async def withdraw(self, plan_id: str) -> PlanOutcome:
-        """Take a plan back that is not accepted yet."""
-        plan = await self._persist(lambda: self._withdraw(plan_id))
+        """Withdraw a plan that is not accepted yet."""
+        plan = await self._retry(lambda: self._withdraw(plan_id))
         self._keeper.request_poll()
         return PlanOutcome(plan, {})
 
@@ -123,7 +123,7 @@
         if plan.value.state is PlanState.WITHDRAWN:
             raise RequestRefused(
                 ErrorKind.PLAN_CONFLICT,
-                f'plan {plan_id!r} was withdrawn; make a new one',
+                f'plan {plan_id!r} was withdrawn; make a new plan',
                 field='plan_id',
             )
         heads = await self._store.read_heads()
@@ -139,7 +139,7 @@
             raise RequestRefused(
                 ErrorKind.PLAN_CONFLICT,
                 f'plan {plan_id!r} is accepted as revision'
-                f' {plan.value.revision}; plan the opposite change',
+                f' {plan.value.revision}; make a plan that reverts it',
                 field='plan_id',
             )
         if plan.value.state is not PlanState.WITHDRAWN:
@@ -147,24 +147,24 @@
             await self._store.withdraw(plan, heads.head)
         return (await self._read_plan(plan_id)).value
 
-    async def _persist(
-        self, step: typing.Callable[[], typing.Awaitable[T]]
+    async def _retry(
+        self, operation: typing.Callable[[], typing.Awaitable[T]]
     ) -> T:
-        """Repeat a step whose rows changed under it or whose answer is lost.
+        """Retry an operation on a write conflict or a lost answer.
 
-        Each step reads first, so a repeat sees what took effect.
+        Each operation reads first, so a retry sees what has taken effect.
         """
-        lost: Exception | None = None
-        for _ in range(MAX_TRIES):
+        last_error: Exception | None = None
+        for _ in range(MAX_ATTEMPTS):
             try:
-                return await step()
+                return await operation()
             except (ConditionFailed, PlatformUnavailable) as error:
-                lost = error
-                await asyncio.sleep(STEP_SECONDS)
+                last_error = error
+                await asyncio.sleep(POLL_SECONDS)
         raise RequestRefused(
             ErrorKind.TABLE_UNAVAILABLE,
-            f'the table service did not confirm the step: {lost}; it may'
-            ' have taken effect; repeating it is harmless',
+            f'the table service did not confirm the write: {last_error};'
+            ' it may have taken effect; repeating the request is safe',
             ran=Execution.UNKNOWN,
             retry_after=RETRY_SECONDS,
         )
@@ -174,7 +174,7 @@
         if plan is None:
             raise RequestRefused(
                 ErrorKind.NOT_FOUND,
-                f'there is no plan {plan_id!r}',
+                f'plan {plan_id!r} does not exist',
                 field='plan_id',
             )
         return plan
@@ -185,7 +185,7 @@
             return
         raise RequestRefused(
             ErrorKind.PLAN_PENDING,
-            f'plan {pending!r} is proposed and not accepted yet',
+            f'plan {pending!r} is already proposed and not accepted yet',
             field='plan_id',
             retry_after=RETRY_SECONDS,
             details={'pending_plan': pending},
@@ -195,7 +195,7 @@
         fresh = await self.plan(plan.changes, plan.made_by)
         raise RequestRefused(
             ErrorKind.PLAN_CONFLICT,
-            f'plan {plan.plan_id!r} was made on revision {plan.base}, but'
+            f'plan {plan.plan_id!r} is based on revision {plan.base}, but'
             f' revision {heads.head.value.revision} is in force',
             field='base',
             details={'fresh_plan': msgspec.to_builtins(fresh)},
@@ -204,13 +204,13 @@
     async def _describe(self, plan: Plan) -> PlanOutcome:
         if plan.state is not PlanState.PROPOSED:
             return PlanOutcome(plan, {})
-        judgement = await self._keeper.read_progress(plan)
-        return PlanOutcome(plan, judgement.group_waiting())
+        progress = await self._keeper.read_progress(plan)
+        return PlanOutcome(plan, progress.group_waiting())
 
 
-def _refuse_table(error: PlatformUnavailable) -> RequestRefused:
+def _make_table_refusal(error: PlatformUnavailable) -> RequestRefused:
     return RequestRefused(
         ErrorKind.TABLE_UNAVAILABLE,
-        f'the table service is out: {error}',
+        f'the table service is unavailable: {error}',
         retry_after=RETRY_SECONDS,
     )
--- a/src/lifttrestle/internal/operators/outcome.py
+++ b/src/lifttrestle/internal/operators/outcome.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""A plan together with who holds it up."""
+"""A plan and the routers that have yet to acknowledge it."""
 
 import msgspec
 
@@ -18,10 +18,10 @@
 
 
 class PlanOutcome(msgspec.Struct, frozen=True):
-    """How far a plan has come.
+    """A plan and its progress, as the intent API returns them.
 
-    :ivar waiting_for: names of routers that have not acknowledged it, by
-        data centre.
+    :ivar waiting_for: names of the routers that have yet to acknowledge the
+        plan, by data centre; empty unless the plan is proposed.
     """
 
     plan: Plan
--- a/src/lifttrestle/internal/operators/role.py
+++ b/src/lifttrestle/internal/operators/role.py
@@ -10,19 +10,19 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""What an operator may do."""
+"""Roles of operators."""
 
 import enum
 
 
 class Role(enum.Enum):
-    """Each role may do what the one before it may, and more."""
+    """Roles in ascending order; each includes the ones before it."""
 
     READER = 'reader'
     PLANNER = 'planner'
     CONFIRMER = 'confirmer'
 
-    def includes(self, needed: 'Role') -> bool:
-        """Return whether this role may do what ``needed`` may."""
+    def includes(self, required: 'Role') -> bool:
+        """Return whether this role has the permissions of ``required``."""
         order = list(Role)
-        return order.index(self) >= order.index(needed)
+        return order.index(self) >= order.index(required)
--- a/src/lifttrestle/internal/operators/status.py
+++ b/src/lifttrestle/internal/operators/status.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""What a router tells operators about itself and its surroundings."""
+"""Status of a router and its deployment, as operators see it."""
 
 import msgspec
 
@@ -21,7 +21,12 @@
 
 
 class UpstreamStatus(msgspec.Struct, frozen=True):
-    """One upstream as this router sees it."""
+    """State of one upstream as this router sees it.
+
+    :ivar versions: version of the weights for each loaded model; empty unless
+        the upstream is an engine with a current report.
+    :ivar leaving: whether its VM leaves or is gone, or the upstream drains.
+    """
 
     name: str
     data_centre: str
@@ -34,7 +39,13 @@
 
 
 class RouterStatus(msgspec.Struct, frozen=True):
-    """One router's view of everything."""
+    """State of a router and of the deployment as it sees it.
+
+    :ivar revision: latest accepted revision that this router has applied.
+    :ivar proposal: identifier of the pending plan, or empty.
+    :ivar live_routers: number of live routers, this one included.
+    :ivar routers: all members as ``data_centre/name``.
+    """
 
     router: str
     data_centre: str
@@ -49,7 +60,7 @@
 
 
 def build_status(parts: RouterParts, readiness: Readiness) -> RouterStatus:
-    """Return the status at this moment."""
+    """Return the current status."""
     view = parts.keeper.view
     members = parts.keeper.platform_status.members.routers
     return RouterStatus(
--- a/src/lifttrestle/internal/operators/tokens.py
+++ b/src/lifttrestle/internal/operators/tokens.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""The operators' tokens, read from a file of digests."""
+"""Authorisation of operators by the digests of their tokens."""
 
 import pathlib
 
@@ -26,7 +26,7 @@
 
 
 class Operator(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One operator; only the digest of the token is kept."""
+    """An operator; the file holds only the digest of the token."""
 
     name: str
     role: Role
@@ -34,43 +34,44 @@
 
 
 class TokenFile(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The file of all operators."""
+    """Content of the tokens file."""
 
     operator: tuple[Operator, ...] = ()
 
 
 class OperatorTokens:
-    """Finds the operator of a request and checks the role."""
+    """Identifies the operator of a request and checks the role."""
 
     def __init__(self, operators: tuple[Operator, ...]) -> None:
         self._by_digest = {item.token_digest: item for item in operators}
 
-    def authorise(self, head: RequestHead, needed: Role) -> Operator:
+    def authorise(self, head: RequestHead, required: Role) -> Operator:
         """Return the operator who sent a request.
 
-        :raises RequestRefused: for an unknown token or a lesser role.
+        :raises RequestRefused: if there is no token, it is unknown or its
+            role does not include ``required``.
         """
         operator = self._by_digest.get(digest_token(read_token(head)))
         if operator is None:
             raise RequestRefused(
                 ErrorKind.UNAUTHORISED,
-                'the bearer token is not an operator of this router',
+                'the bearer token belongs to no operator of this router',
                 field='authorization',
             )
-        if not operator.role.includes(needed):
+        if not operator.role.includes(required):
             raise RequestRefused(
                 ErrorKind.ROLE_LACKING,
                 f'operator {operator.name!r} is a {operator.role.value};'
-                f' this call needs a {needed.value}',
+                f' this request requires a {required.value}',
                 field='role',
             )
         return operator
 
 
 def load_tokens(path: str) -> OperatorTokens:
-    """Read the operators' file; without a path there is no operator.
+    """Read the tokens file; an empty path means no operators.
 
-    :raises SettingsInvalid: if the file can't be read.
+    :raises SettingsInvalid: if the file can't be read or decoded.
     """
     if not path:
         return OperatorTokens(())
