--- a/tests/nocover/test_store_return.py
+++ b/tests/nocover/test_store_return.py
@@ -61,11 +61,10 @@
 
 
 async def restore_snapshot(store, snapshot):
-    """Restore a snapshot once routers have read the changes since.
+    """Restore a snapshot and give routers time to read it.
 
-    Returns after routers have had time to read the restored store.
+    Routers must have read the changes since, or these are lost to them too.
     """
-    await asyncio.sleep(0.3)
     store.restore(snapshot)
     await asyncio.sleep(1.0)
 
@@ -131,6 +130,12 @@
             snapshot = fleet.store.rows.take_snapshot()
             upstream = fleet.upstreams['p1']
             fleet.put_upstream('plain', upstream, state='draining')
+            self.assertTrue(
+                await holds_within(
+                    lambda: fleet.router.directory.get('p1').entry.draining,
+                    APPLY_SECONDS,
+                )
+            )
             await restore_snapshot(fleet.store, snapshot)
             for number in range(20):
                 answer = await fleet.call('/safe/x', request_id=f'r{number}')
@@ -152,6 +157,12 @@
             snapshot = fleet.store.rows.take_snapshot()
             upstream = fleet.upstreams['p1']
             fleet.store.remove('servers', upstream.instance)
+            self.assertTrue(
+                await holds_within(
+                    lambda: fleet.router.directory.get('p1') is None,
+                    APPLY_SECONDS,
+                )
+            )
             await restore_snapshot(fleet.store, snapshot)
             self.assertIsNone(fleet.router.directory.get('p1'))
             fleet.put_upstream('plain', upstream)
@@ -165,10 +176,20 @@
     async def test_entry_missing_after_restore_is_kept_temporarily(self):
         async with run_fleet() as fleet:
             fleet.store.remove('servers', 'p1')
-            await asyncio.sleep(0.5)
+            self.assertTrue(
+                await holds_within(
+                    lambda: fleet.router.directory.get('p1') is None,
+                    APPLY_SECONDS,
+                )
+            )
             snapshot = fleet.store.rows.take_snapshot()
             fleet.put_upstream('plain', fleet.upstreams['p1'])
-            await asyncio.sleep(0.5)
+            self.assertTrue(
+                await holds_within(
+                    lambda: fleet.router.directory.get('p1') is not None,
+                    APPLY_SECONDS,
+                )
+            )
             fleet.store.restore(snapshot)
             await asyncio.sleep(0.8)
             self.assertIsNotNone(fleet.router.directory.get('p1'))
@@ -177,9 +198,14 @@
         async with run_routers() as (store, relays, other):
             snapshot = store.rows.take_snapshot()
             store.put('op', 'config', build_configuration(9))
-            await holds_within(
-                lambda: all(item.catalogue.version == 9 for item in relays),
-                APPLY_SECONDS,
+            self.assertTrue(
+                await holds_within(
+                    lambda: all(
+                        item.catalogue.version == 9
+                        for item in (*relays, other)
+                    ),
+                    APPLY_SECONDS,
+                )
             )
             await restore_snapshot(store, snapshot)
             newcomer = make_router(store.address, PROMISES, NEWCOMER)
