--- a/deploy/__main__.py
+++ b/deploy/__main__.py
@@ -10,14 +10,14 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Starts the command line from the folder that the build makes."""
+"""Runs the command line from the folder that the build creates."""
 
 import gc
 import sys
 
-# What is loaded stays: looking for garbage meanwhile took 0.03 s of the 0.4 s
-# of processor time that loading a router's modules takes. The router goes on
-# with it once it has started.
+# Imported modules are never freed. Garbage collection during the imports took
+# 0.03 s of the 0.4 s of CPU time that importing a router's modules takes. The
+# router enables it again once it has started.
 gc.disable()
 
 from lifttrestle.internal.cli.main import main  # noqa: E402
--- a/examples/demo.py
+++ b/examples/demo.py
@@ -10,11 +10,11 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Runs a small Bangkok on this machine and shows what a router does.
+"""Runs an example deployment on this machine and shows what a router does.
 
-Every process is one of this repository's: two routers, and stand-ins for the
-engines, the plain services and the platform. They listen on loopback numbers
-of their own, as ``examples/bangkok`` says.
+All processes are part of this repository: two routers, and stand-ins for the
+engines, the other services and the platform. They listen on the loopback
+addresses that the files in ``examples/bangkok`` set.
 """
 
 import pathlib
@@ -27,9 +27,11 @@
 from tests.support.process import ManagedProcess
 
 FOLDER = pathlib.Path(__file__).parent / 'bangkok'
-SHEET = 'You write hints for the morning crossword. Never give the answer. '
+SYSTEM_PROMPT = (
+    'You write hints for the morning crossword. Never give the answer. '
+)
 MESSAGES = [
-    {'role': 'system', 'content': SHEET * 60},
+    {'role': 'system', 'content': SYSTEM_PROMPT * 60},
     {'role': 'user', 'content': 'A hint for 7 down, "escapement"?'},
 ]
 
@@ -48,7 +50,7 @@
 
 
 def run(processes: list[ManagedProcess]) -> None:
-    """Start everything and go through the steps."""
+    """Start all processes and run the steps of the demonstration."""
     start_standins(processes)
     routers = start_routers(processes)
     configure()
@@ -61,7 +63,7 @@
 
 
 def start_standins(processes: list[ManagedProcess]) -> None:
-    """Start what takes the place of the outside systems."""
+    """Start the stand-ins for the external systems."""
     text = (FOLDER / 'standins.toml').read_text()
     standins = tomllib.loads(text)['standin']
     for item in standins:
@@ -87,7 +89,7 @@
 
 
 def configure() -> None:
-    """Plan and confirm, as an operator does."""
+    """Plan and confirm a change of the configuration, as an operator does."""
     plan = operate('plan', str(FOLDER / 'workspaces.toml'))
     plan_id = plan.split()[1]
     show('plan', f'lifttrestle plan workspaces.toml -> {plan_id}')
@@ -141,7 +143,7 @@
 
 
 def call_service(address: str) -> None:
-    """Submit a grid twice under one key."""
+    """Submit a grid twice with the same idempotency key."""
     for title in ('submission', 'sent again'):
         reply = request(
             address,
@@ -152,12 +154,12 @@
             {'Idempotency-Key': 'solver-42-grid-7'},
         )
         body = reply.json()
-        told = body.get('error', {}).get('message') or f'runs {body["runs"]}'
-        show(title, f'{reply.status} {told}')
+        result = body.get('error', {}).get('message') or f'runs {body["runs"]}'
+        show(title, f'{reply.status} {result}')
 
 
 def show_refusal(address: str) -> None:
-    """Ask for a workspace outside its place."""
+    """Send a request to a data centre that its workspace may not use."""
     reply = request(
         address, 'GET', '/grid-app/grids/7', read_token('silom-only')
     )
--- a/src/lifttrestle/__init__.py
+++ b/src/lifttrestle/__init__.py
@@ -10,10 +10,11 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""lifttrestle routes language-model traffic and keeps it in its place.
+"""Routes language-model requests within their permitted data centres.
 
-The command ``lifttrestle`` is the product; this package's public names serve
-those who embed its settings and errors. All else is under ``internal``.
+The product is the command ``lifttrestle``. The public names of this package
+are for programs that use its settings and errors; everything else is under
+``internal``.
 """
 
 from lifttrestle.errors import LifttrestleError
--- a/src/lifttrestle/errors.py
+++ b/src/lifttrestle/errors.py
@@ -10,9 +10,9 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""The closed family of exceptions that lifttrestle raises.
+"""All exceptions that lifttrestle defines.
 
-Every message quotes the offending value and says what to do about it.
+Every message quotes the invalid value and says how to correct it.
 """
 
 from lifttrestle.internal.intake.fault import InputFault
@@ -21,18 +21,18 @@
 
 
 class LifttrestleError(Exception):
-    """The base of every exception that this package raises on purpose."""
+    """Base class of the exceptions that this package defines."""
 
 
 class RequestRefused(LifttrestleError):
     """A request ends with an error answer.
 
-    :param kind: the kind of error, from the closed list.
-    :param message: one sentence that quotes the offending value.
-    :param field: the name of the offending field, or an empty string.
+    :param kind: the kind of error.
+    :param message: one sentence that quotes the invalid value.
+    :param field: the name of the invalid field, or an empty string.
     :param ran: whether the request ran, as far as the router knows.
-    :param retry_after: seconds after which to come back, or zero.
-    :param details: further fields for the error body.
+    :param retry_after: seconds after which to retry, or zero.
+    :param details: additional fields of the error body.
     """
 
     def __init__(
@@ -55,14 +55,14 @@
 
 
 class SettingsInvalid(LifttrestleError):
-    """A settings file has faults; the message lists every one of them."""
+    """A settings file has faults; the message lists all of them."""
 
 
 class InputRefused(LifttrestleError, ValueError):
-    """Data of another writer can't be used.
+    """Data that another process has written is invalid.
 
-    :param fault: why, from the closed list.
-    :param message: one sentence that quotes what is wrong.
+    :param fault: the reason, which is a label of a metric.
+    :param message: one sentence that quotes the invalid value.
     """
 
     def __init__(self, fault: InputFault, message: str) -> None:
@@ -71,20 +71,23 @@
 
 
 class PlatformUnavailable(LifttrestleError):
-    """The table service, object store or VM list gave no usable answer.
+    """The table service, object store or VM list gave no valid answer.
 
-    The call may have taken effect all the same.
+    The call may have taken effect nevertheless.
     """
 
 
 class HistoryGone(LifttrestleError):
-    """The store dropped the changes that were asked for; read all again."""
+    """The store no longer holds the requested changes.
+
+    The whole table has to be read again.
+    """
 
 
 class ConditionFailed(LifttrestleError):
-    """A transaction was refused because rows were not as it required.
+    """A transaction was refused because its conditions were not met.
 
-    :param keys: the keys whose conditions did not hold.
+    :param keys: keys of the rows whose conditions were not met.
     """
 
     def __init__(self, keys: tuple[str, ...]) -> None:
@@ -95,9 +98,10 @@
 
 
 class UpstreamConnectFailed(LifttrestleError):
-    """No connection to the upstream could be made, so nothing was sent.
+    """Connecting to the upstream failed, so nothing was sent.
 
-    :param refused: nothing listens at its address.
+    :param refused: whether the connection was refused, since no process
+        listens at the address.
     """
 
     def __init__(self, message: str, *, refused: bool = False) -> None:
@@ -106,19 +110,19 @@
 
 
 class UpstreamLost(LifttrestleError):
-    """The exchange with an upstream broke off after sending had begun."""
+    """The exchange with an upstream failed after sending had started."""
 
 
 class UpstreamBrokeOff(UpstreamLost):
-    """The connection ended before the upstream's answer did."""
+    """The connection closed before the upstream's answer was complete."""
 
 
 class UpstreamDeclined(LifttrestleError):
-    """The upstream refused a request unread, so it did not run there."""
+    """The upstream refused the request without running it."""
 
 
 class UpstreamFailed(LifttrestleError):
-    """The upstream answered with an error of its own."""
+    """The upstream answered with an error."""
 
 
 class WrongAnswer(LifttrestleError):
@@ -126,7 +130,7 @@
 
 
 class CutByStop(LifttrestleError):
-    """A planned stop ended a request that it could not wait for."""
+    """The grace period of a planned stop ended before the request."""
 
 
 class CallerGone(LifttrestleError):
--- a/src/lifttrestle/internal/platform/engine_calls.py
+++ b/src/lifttrestle/internal/platform/engine_calls.py
@@ -10,9 +10,9 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Reports of and orders to engines, behind the fleet's interface.
+"""Implements the fleet's interface for reports of and orders to engines.
 
-Calls go over the connections that requests use, since new ones are dear.
+Calls share the connections of requests, since opening new ones is expensive.
 """
 
 from lifttrestle.errors import InputRefused
@@ -32,12 +32,13 @@
 from lifttrestle.internal.platform.upstream_limit import read_limit
 
 STATUS_OK = 200
-# An engine whose runs finish first begins nothing for as long as the longest
-# stream lasts, three seconds a load, while one that lets them go on is away
-# for the load itself (0.6 s). Three versions in ten seconds then leave enough
-# engines: mean worth 0.478 against 0.390 over three days of three seeds, and
-# the callers' worst two seconds at 0.46 of what is owed in place of 0.24. Its
-# price is that such streams end on other weights than they began on.
+# If its running requests finish first, an engine starts no others until its
+# longest stream ends, three seconds per load. If they continue, it is
+# unavailable only during the load itself (0.6 s), so that enough engines
+# remain with three versions in ten seconds: over three days with three seeds,
+# mean worth was 0.478 instead of 0.390, and the callers got 0.46 instead of
+# 0.24 of what they are owed in their worst two seconds. The disadvantage is
+# that such streams end on other weights than they started on.
 SWITCH_MODE = names.MODE_RETAIN
 OUTCOMES = {
     200: OrderOutcome.ALREADY_LOADED,
@@ -50,9 +51,9 @@
 
 
 class PlatformEngineControl(EngineControl):
-    """Calls engines.
+    """Sends calls of the platform's interface to engines.
 
-    :param timeout_seconds: for one call.
+    :param timeout_seconds: timeout of one call.
     """
 
     def __init__(self, clock: Clock, timeout_seconds: float) -> None:
@@ -60,17 +61,20 @@
         self._timeout_seconds = timeout_seconds
 
     async def read_state(self, engine: FleetUpstream) -> EngineState:
-        """Return an engine's own state of some hundred milliseconds ago."""
+        """Return the state that an engine reports, some hundred ms old.
+
+        :raises PlatformUnavailable: if the engine sends no valid report.
+        """
         answer = await self._call(engine, 'GET', names.REPORT_PATH, None)
         if answer.status != STATUS_OK:
             raise PlatformUnavailable(
-                f'{engine.instance} answered {answer.status} to a report'
+                f'{engine.instance} answered {answer.status} to a report call'
             )
         try:
             record = decode_json(answer.body, ReportRecord)
         except InputRefused as error:
             raise PlatformUnavailable(
-                f'{engine.instance} gave an unreadable report: {error}'
+                f'{engine.instance} sent an invalid report: {error}'
             ) from error
         return EngineState(
             weights={item.name: item.version for item in record.models},
@@ -84,7 +88,7 @@
     async def send_load(
         self, engine: FleetUpstream, order: LoadOrder
     ) -> OrderOutcome:
-        """Order an engine to load weights."""
+        """Send a load order to an engine."""
         content = {
             'op': names.ORDER_LOAD,
             'model': order.model,
--- a/src/lifttrestle/internal/platform/names.py
+++ b/src/lifttrestle/internal/platform/names.py
@@ -12,7 +12,7 @@
 
 """The platform's names of headers, calls and tables."""
 
-# Headers of requests. Names are in lower case, as the HTTP code keeps them.
+# Request headers. The HTTP code converts header names to lower case.
 REQUEST_ID = 'request-id'
 AUTHORIZATION = 'authorization'
 KEY_SCHEME = 'token '
@@ -28,7 +28,7 @@
 CACHE_SALT = 'cache-salt'
 CACHE_SOURCE = 'kv-fetch'
 CACHE_TARGET = 'kv-save'
-# Set by the system alone: what a caller sends under these names is dropped.
+# Only the system may set these headers; those that callers send are removed.
 SYSTEM_HEADERS = frozenset(
     (
         DEADLINE,
@@ -51,30 +51,30 @@
     )
 )
 
-# Headers of answers.
+# Response headers.
 STAMP = 'server-stamp'
 NOT_RUN = 'not-executed'
-# Another start, or other weights, are where one was expected.
+# The upstream is not the expected start or has other weights.
 STATUS_OTHER_INSTANCE = 421
-# Which start of an upstream turned a request away.
+# The start of an upstream that refused the request.
 INSTANCE = 'instance-id'
 WEIGHTS = 'weight-versions'
-# Requests a second that an upstream takes from all routers together.
+# Requests per second that an upstream accepts from all routers together.
 LIMIT = 'server-limit'
 
 # Calls to an engine.
 REPORT_PATH = '/report'
 ORDER_PATH = '/order'
 ORDER_LOAD = 'version'
-# Running requests go on under the new weights.
+# Running requests continue with the new weights.
 MODE_RETAIN = 'retain'
 
 # Calls to the store, and its tables.
 # Response header; increases when the store is restored from an older copy.
 STORE_EPOCH = 'store-era'
-READ_ROWS = '/rows-get'
-WATCH_ROWS = '/rows-feed'
-COMMIT = '/rows-tx'
+READ_ROWS_PATH = '/rows-get'
+WATCH_ROWS_PATH = '/rows-feed'
+COMMIT_PATH = '/rows-tx'
 OPERATOR_TABLE = 'op'
 UPSTREAMS_TABLE = 'servers'
 CONFIGURATION_KEY = 'config'
--- a/src/lifttrestle/internal/platform/node_settings.py
+++ b/src/lifttrestle/internal/platform/node_settings.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Translates the settings file that the platform gives each process."""
+"""Reads the settings file that the platform writes for each process."""
 
 import pathlib
 
@@ -29,7 +29,7 @@
 
 
 class ListenRecord(msgspec.Struct):
-    """Where the process listens."""
+    """Addresses for callers and for readiness checks."""
 
     front: str
     ready: str
@@ -42,11 +42,13 @@
     history_s: float = 20
 
 
-class PromisesRecord(msgspec.Struct):
-    """The figures of the rules, those that the router uses.
+class ContractParamsRecord(msgspec.Struct):
+    """The parameters of the platform's contract that the router uses.
 
-    :ivar drain_ms: within which a leaving upstream gets no more work.
-    :ivar thaw_slack_ms: unused here; orders check their lease instead.
+    ``thaw_slack_ms`` is not read: orders check their lease instead.
+
+    :ivar drain_ms: time within which a leaving upstream stops getting
+        requests.
     """
 
     drain_ms: float = 2000
@@ -64,9 +66,9 @@
 
 
 class NodeRecord(msgspec.Struct):
-    """The settings file; fields that are not listed are ignored.
+    """The settings file; unknown fields are ignored.
 
-    :ivar internal_ports: first and last of those free for our own use.
+    :ivar internal_ports: first and last port reserved for use among routers.
     """
 
     node_name: str
@@ -78,15 +80,18 @@
     zones: dict[str, str] = {}
     internal_ports: list[int] = []
     heartbeat_ms: float = 1200
-    contract_params: PromisesRecord = msgspec.field(
-        default_factory=PromisesRecord
+    contract_params: ContractParamsRecord = msgspec.field(
+        default_factory=ContractParamsRecord
     )
 
 
 def check_node_settings(
     path: pathlib.Path, metrics_port: int = 0
 ) -> Result[FleetSettings, tuple[Fault, ...]]:
-    """Return the settings, or every fault in the file."""
+    """Return the settings, or every fault in the file.
+
+    :param metrics_port: port on which to serve metrics; 0 disables this.
+    """
     try:
         data = _decode(path.read_bytes())
     except (OSError, ValueError, msgspec.MsgspecError) as error:
@@ -107,10 +112,11 @@
 
 
 def _decode(content: bytes) -> object:
-    """Return what the file holds.
+    """Decode the file from JSON or YAML.
 
-    Our template has the platform write JSON; without it, it writes YAML,
-    whose library takes 23 ms to load, and a router's modules some 360.
+    The platform writes JSON with the template of this project, and YAML
+    without it. Importing the YAML library takes 23 ms; importing the modules
+    of a router takes some 360 ms.
     """
     if content.lstrip().startswith(b'{'):
         return msgspec.json.decode(content)
--- a/src/lifttrestle/internal/platform/records.py
+++ b/src/lifttrestle/internal/platform/records.py
@@ -10,23 +10,23 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""The bodies of the platform's messages, as they are on the wire."""
+"""Wire format of the platform's messages and of the rows of its store."""
 
 import enum
 from typing import Annotated
 
 import msgspec
 
-Text = Annotated[str, msgspec.Meta(min_length=1)]
+NonEmptyText = Annotated[str, msgspec.Meta(min_length=1)]
 Count = Annotated[int, msgspec.Meta(ge=0)]
 Slots = Annotated[int, msgspec.Meta(ge=1)]
 Milliseconds = Annotated[float, msgspec.Meta(ge=0)]
-# Unix milliseconds of a start; a deployment may not tell it at all.
+# Start time in Unix milliseconds; some deployments don't report it.
 Born = Count | msgspec.UnsetType
 
 
-class Share(msgspec.Struct):
-    """A service of a route, with its part of the traffic."""
+class ServiceShareRecord(msgspec.Struct):
+    """A service of a route, and its weight relative to the others."""
 
     service: str
     weight: float = 1.0
@@ -35,8 +35,9 @@
 class RouteRecord(msgspec.Struct):
     """A route.
 
-    :ivar sticky: its requests carry a prompt with parts that others share.
-    :ivar gap_aim_ms: the longest pause between events of a good answer.
+    :ivar sticky: whether requests share parts of their prompts.
+    :ivar gap_aim_ms: the longest pause between the events of a stream that
+        meets its objective, None without one.
     """
 
     name: str
@@ -47,7 +48,7 @@
     target_latency_ms: float = 1000
     priority: int = 5
     service: str = ''
-    traffic_split: list[Share] = []
+    traffic_split: list[ServiceShareRecord] = []
     max_attempts: int = 1
     auth_exempt: bool = False
     sticky: bool = False
@@ -61,18 +62,19 @@
     name: str
 
 
-class HeldModelRecord(msgspec.Struct):
-    """The weights that an engine holds of a model."""
+class LoadedModelRecord(msgspec.Struct):
+    """The version of a model's weights that an engine has loaded."""
 
-    name: Text
+    name: NonEmptyText
     version: Count
 
 
 class EngineRecord(msgspec.Struct):
-    """What holds for every engine of a service.
+    """Properties of every engine of a service.
 
-    :ivar kv_token_bytes: of KV cache a token.
-    :ivar link_mbps: of an engine's own link, in megabits a second.
+    :ivar slots: requests that one engine runs concurrently.
+    :ivar kv_token_bytes: bytes of KV cache per token.
+    :ivar link_mbps: bandwidth of one engine's link in Mbit/s.
     """
 
     slots: int = 1
@@ -83,10 +85,13 @@
 
 
 class ServiceRecord(msgspec.Struct):
-    """A service; with ``kv_store_addr`` it is a store of KV cache.
+    """A service; if ``kv_store_addr`` is set, it is a KV cache store.
 
-    :ivar zone: of the store of KV cache.
-    :ivar link_mbps: of the store's link, in megabits a second.
+    :ivar max_conns: connections that one upstream accepts from all routers
+        in total.
+    :ivar zone: data centre of the KV cache store.
+    :ivar kv_capacity_tokens: capacity of the KV cache store.
+    :ivar link_mbps: bandwidth of the KV cache store's link in Mbit/s.
     """
 
     name: str
@@ -99,7 +104,7 @@
 
 
 class LimitsRecord(msgspec.Struct):
-    """Bounds on callers."""
+    """Limits for the connection of one caller."""
 
     max_header_bytes: int = 16384
     max_body_bytes: int = 4194304
@@ -110,13 +115,13 @@
 class TenantRecord(msgspec.Struct):
     """A workspace.
 
-    The fields of its cap may be of any type: one that can't be used must not
-    keep a configuration from all others.
+    The fields of its cap may be of any type, so that an invalid cap of one
+    workspace does not invalidate the configuration of all others.
 
-    :ivar rate_per_s: units a second over all routers; zero for no limit.
-    :ivar burst: units that can be saved up.
+    :ivar rate_per_s: units per second over all routers; zero for no limit.
+    :ivar burst: units that can accumulate.
     :ivar unit: what is counted.
-    :ivar plain_tokens: what a request counts that tells no tokens.
+    :ivar plain_tokens: units of a request without a token count.
     """
 
     name: str
@@ -130,9 +135,9 @@
 
 
 class ConfigurationRecord(msgspec.Struct):
-    """The whole configuration.
+    """The complete configuration.
 
-    :ivar tenants: None where requests carry no key.
+    :ivar tenants: None if no keys are required.
     """
 
     version: int
@@ -143,41 +148,41 @@
 
 
 class WeightsRecord(msgspec.Struct):
-    """The weights that the operator names."""
+    """The operator's target version of a model's weights."""
 
     model: str
     version: int
 
 
 class EntryState(enum.Enum):
-    """What an upstream's entry may say of its state."""
+    """States that the entry of an upstream can report."""
 
     READY = 'ready'
     DRAINING = 'draining'
 
 
 class UpstreamRecord(msgspec.Struct):
-    """An upstream's entry; what every upstream tells has no default.
+    """An upstream's entry; fields that every upstream sets have no default.
 
-    :ivar version: of its software.
-    :ivar seq_no: grows with what it has accepted since its start.
-    :ivar models: of an engine; others have none.
+    :ivar version: version of its software.
+    :ivar seq_no: increases with what it has accepted since its start.
+    :ivar models: models that an engine has loaded; other upstreams have none.
     """
 
-    service: Text
-    address: Text
-    zone: Text
+    service: NonEmptyText
+    address: NonEmptyText
+    zone: NonEmptyText
     version: str
     slots: Slots
     state: EntryState
     cold_left_ms: Milliseconds
     seq_no: Count
-    models: list[HeldModelRecord] = []
+    models: list[LoadedModelRecord] = []
     born: Born = msgspec.UNSET
 
 
 class RowRecord(msgspec.Struct):
-    """A row of the store; ``value`` is base64, absent when dropped."""
+    """A row of the store; ``value`` is base64, or absent if removed."""
 
     table: str
     key: str
@@ -188,9 +193,10 @@
 
 
 class RowsRecord(msgspec.Struct):
-    """Rows as of one moment, or changes up to it.
+    """Rows as of one commit, or the changes up to it.
 
     :ivar ver: the newest commit of the store.
+    :ivar more_pages: whether further rows have to be read.
     """
 
     ver: int = 0
@@ -199,13 +205,13 @@
 
 
 class ReportRecord(msgspec.Struct):
-    """An engine's state of some hundred milliseconds ago.
+    """State that an engine reports, some hundred milliseconds old.
 
-    :ivar seq_no: how many orders it has accepted since its start.
-    :ivar busy: an order is being carried out.
+    :ivar busy: whether it is executing an order.
+    :ivar seq_no: number of orders accepted since its start.
     """
 
-    models: list[HeldModelRecord] = []
+    models: list[LoadedModelRecord] = []
     busy: bool = False
     seq_no: Count = 0
     waiting: int = 0
@@ -216,5 +222,5 @@
 
 
 def read_born(born: Born) -> int | None:
-    """Return when an upstream started, None where it is not told."""
+    """Return an upstream's start time, or None if it is not reported."""
     return None if born is msgspec.UNSET else born
--- a/src/lifttrestle/internal/platform/request_dialect.py
+++ b/src/lifttrestle/internal/platform/request_dialect.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Translates the heads of callers' requests and of upstreams' answers."""
+"""Parses and builds heads that carry the platform's headers."""
 
 from collections.abc import Callable
 import typing
@@ -42,10 +42,13 @@
 
 
 class PlatformDialect(RequestDialect):
-    """Reads and writes the platform's headers."""
+    """Parses and builds heads with the platform's headers."""
 
     def read_request(self, head: RequestHead) -> RequestFacts:
-        """Return what a request's head says."""
+        """Parse the head of a caller's request.
+
+        :raises RequestRefused: if a header can't be parsed.
+        """
         host = find_single_header(head, 'host').rpartition(':')
         wait = _read_number(head, names.DEADLINE, float, 'a number')
         return RequestFacts(
@@ -64,15 +67,15 @@
         self, head: RequestHead, order: UpstreamOrder
     ) -> RequestHead:
         """Return the head to send to an upstream."""
-        kept = [
+        headers = [
             (name, value)
             for name, value in drop_hop_headers(head.headers)
             if name not in names.SYSTEM_HEADERS
             and not (order.hide_key and name == names.AUTHORIZATION)
         ]
         wait_ms = max(int(order.wait_seconds * MILLISECONDS), 1)
-        kept.append((names.DEADLINE, str(wait_ms)))
-        kept.append((names.EXPECT_INSTANCE, order.instance))
+        headers.append((names.DEADLINE, str(wait_ms)))
+        headers.append((names.EXPECT_INSTANCE, order.instance))
         optional: tuple[tuple[str, object], ...] = (
             (names.TENANT, order.workspace or None),
             (names.EXPECT_VERSION, order.weights),
@@ -85,13 +88,13 @@
                 (names.CACHE_SOURCE, order.cache.source or None),
                 (names.CACHE_TARGET, order.cache.target or None),
             )
-        kept.extend(
+        headers.extend(
             (name, str(value)) for name, value in optional if value is not None
         )
-        return RequestHead(head.method, head.target, tuple(kept))
+        return RequestHead(head.method, head.target, tuple(headers))
 
     def read_answer(self, head: ResponseHead) -> AnswerFacts:
-        """Return what an answer's head proves."""
+        """Parse the head of an upstream's answer."""
         weights = head.get_header(names.WEIGHTS)
         encoding = head.get_header('content-encoding', IDENTITY)
         return AnswerFacts(
@@ -108,13 +111,13 @@
         )
 
     def select_answer_headers(self, head: ResponseHead) -> tuple[Header, ...]:
-        """Return the headers of an answer that the caller is shown."""
+        """Return the headers of an answer to forward to the caller."""
         return drop_hop_headers(head.headers)
 
     def build_refusal(
         self, refused: RequestRefused, request_id: str
     ) -> Answer:
-        """Return the answer for a refused request."""
+        """Return the answer to a refused request."""
         rule = ANSWER_RULES[refused.kind]
         headers = [('content-type', 'application/json')]
         if request_id:
@@ -166,24 +169,28 @@
 
 
 def _read_number(
-    head: RequestHead, name: str, read: Callable[[str], Number], wanted: str
+    head: RequestHead,
+    name: str,
+    parse: Callable[[str], Number],
+    expected: str,
 ) -> Number | None:
-    """Return a header's number, or nothing if it is not there.
+    """Return the number in a header, or None if the header is absent.
 
-    :param read: raises ``ValueError`` for what is not ``wanted``.
+    :param parse: raises ``ValueError`` if the value is not as expected.
+    :param expected: description of a valid value, for the error message.
     """
     text = find_single_header(head, name)
     if not text:
         return None
     try:
-        return read(text)
+        return parse(text)
     except ValueError:
-        raise _refuse(name, text, wanted) from None
+        raise _refuse(name, text, expected) from None
 
 
-def _refuse(name: str, value: str, wanted: str) -> RequestRefused:
+def _refuse(name: str, value: str, expected: str) -> RequestRefused:
     return RequestRefused(
         ErrorKind.INVALID_VALUE,
-        f'the header {name} is {value!r}; send {wanted}',
+        f'the header {name} is {value!r}; send {expected}',
         field=name,
     )
--- a/src/lifttrestle/internal/platform/row_store.py
+++ b/src/lifttrestle/internal/platform/row_store.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""The platform's store, behind the fleet's interface."""
+"""Implements the fleet's shared tables with the platform's store."""
 
 import base64
 import binascii
@@ -43,19 +43,20 @@
 MILLISECONDS = 1000
 STATUS_OK = 200
 STATUS_GONE = 410
-STATUS_CONDITION = 412
-# Statuses of the store's own answers; others may come from a proxy.
-STORE_STATUSES = frozenset((STATUS_OK, STATUS_GONE, STATUS_CONDITION))
-# Sorts right after a key: a page goes on from there.
-AFTER_KEY = '\0'
+STATUS_CONDITION_FAILED = 412
+# Statuses that the store itself returns; others may come from a proxy.
+STORE_STATUSES = frozenset((STATUS_OK, STATUS_GONE, STATUS_CONDITION_FAILED))
+# A key with this suffix sorts directly after the key itself, so that the next
+# page starts there.
+NEXT_KEY_SUFFIX = '\0'
 
 
 class PlatformRowStore(RowStore):
-    """Calls the store; each call has its time limit.
+    """Sends calls to the store; each call has a time limit.
 
     The versions that it returns include the epoch that the answer reports.
 
-    :param client: for one call after the other on kept connections.
+    :param client: sends sequential calls over persistent connections.
     """
 
     def __init__(self, client: JsonClient) -> None:
@@ -63,10 +64,13 @@
         self._reports_epoch = False
 
     async def read_table(self, table: str) -> RowChanges:
-        """Return every row of a table, over as many pages as it takes.
+        """Return every row of a table, read in as many pages as needed.
 
-        The version is that of the first page: what changes between pages is
-        told again by the watch that starts there.
+        The version is that of the first page, so that a watch from there
+        reports again what changes between pages.
+
+        :raises PlatformUnavailable: if the store gives no valid answer, or is
+            restored while the table is read.
         """
         first_version = NO_ROW
         rows: list[VersionedRow] = []
@@ -85,31 +89,37 @@
             rows.extend(_read_row(item, epoch) for item in page.rows)
             if not page.more_pages or not page.rows:
                 return RowChanges(tuple(rows), first_version)
-            start = page.rows[-1].key + AFTER_KEY
+            start = page.rows[-1].key + NEXT_KEY_SUFFIX
 
     async def _read_page(self, table: str, start: str) -> Answer:
         query = {'table': table, 'part': ''}
         if start:
             query['from'] = start
-        return await self._call('GET', names.READ_ROWS, query)
+        return await self._call('GET', names.READ_ROWS_PATH, query)
 
     async def watch_table(
         self, table: str, after: int, wait_seconds: float
     ) -> RowChanges:
-        """Return the changes since commit ``after``."""
+        """Return the changes since commit ``after``.
+
+        :raises HistoryGone: if the store no longer holds those changes, or
+            has been restored since.
+        """
         self._check_not_restored(table, after)
         query = {
             'table': table,
             'after': str(get_commit_number(after)),
             'wait_ms': str(int(wait_seconds * MILLISECONDS)),
         }
-        answer = await self._call('GET', names.WATCH_ROWS, query, wait_seconds)
+        answer = await self._call(
+            'GET', names.WATCH_ROWS_PATH, query, wait_seconds
+        )
         epoch = self._update_epoch(answer)
         self._check_not_restored(table, after)
         if answer.status == STATUS_GONE:
             raise HistoryGone(
-                f'the changes of table {table!r} since'
-                f' {format_version(after)} are dropped; read the table again'
+                f'the store no longer holds the changes of table {table!r}'
+                f' since {format_version(after)}; read the table again'
             )
         if epoch < get_epoch(after):
             raise PlatformUnavailable(
@@ -138,7 +148,10 @@
             )
 
     async def write_row(self, write: RowWrite) -> int:
-        """Write one row and return the commit's version."""
+        """Write one row and return the commit's version.
+
+        :raises ConditionFailed: if the row has another version.
+        """
         expected = write.expected_version
         expected_epoch = write.expected_epoch
         if expected_epoch is not None and expected_epoch < self.epoch:
@@ -155,9 +168,9 @@
         else:
             text = base64.b64encode(write.value).decode('ascii')
             content['put'] = [{**row, 'value': text}]
-        answer = await self._call('POST', names.COMMIT, {}, 0.0, content)
+        answer = await self._call('POST', names.COMMIT_PATH, {}, 0.0, content)
         epoch = self._update_epoch(answer)
-        if answer.status == STATUS_CONDITION:
+        if answer.status == STATUS_CONDITION_FAILED:
             raise ConditionFailed((write.key,))
         version = _build_version(epoch, _decode_rows(answer).ver)
         if expected_epoch not in (None, epoch):
@@ -219,7 +232,7 @@
         return decode_json(answer.body, RowsRecord)
     except InputRefused as error:
         raise PlatformUnavailable(
-            f'the store gave an unreadable answer: {error}'
+            f'the store sent an invalid answer: {error}'
         ) from error
 
 
@@ -239,7 +252,8 @@
     try:
         value = base64.b64decode(record.value)
     except binascii.Error as error:
-        # Its reader refuses a value without bytes; the other rows hold.
+        # The decoder of the row refuses an empty value; the other rows of
+        # the answer remain valid.
         LOG.error('store.row_not_base64', key=record.key, reason=str(error))
         value = b''
     return VersionedRow(record.key, value, version)
--- a/src/lifttrestle/internal/platform/stored_caps.py
+++ b/src/lifttrestle/internal/platform/stored_caps.py
@@ -10,15 +10,15 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Translates the caps of workspaces.
+"""Decodes the usage caps of workspaces.
 
-| what is written | what it means |
+| configuration | effect |
 | --- | --- |
 | no rate, or a rate of zero | no limit |
-| no burst, or a burst of zero | nothing is saved up |
+| no burst, or a burst of zero | unused units do not accumulate |
 | no unit | requests are counted |
-| no tokens for a request that tells none | it counts nothing |
-| below zero, too large, of another type or unit | no limit, and a fault |
+| no plain_tokens | a request without a token count uses zero tokens |
+| negative, too large, or of another type or unit | no limit, and a fault |
 """
 
 import math
@@ -29,7 +29,7 @@
 from lifttrestle.internal.intake.fault import InputFault
 from lifttrestle.internal.platform.records import TenantRecord
 
-# Of tokens a second; beyond, sums of floats lose single ones.
+# Largest rate and burst: above this, sums of floats lose single tokens.
 MAX_UNITS = 1e15
 UNITS = {
     None: UsageUnit.REQUESTS,
@@ -39,9 +39,9 @@
 
 
 def read_cap(record: TenantRecord) -> UsageCap | None:
-    """Return a workspace's cap, None without a limit.
+    """Return a workspace's usage cap, or None if it is not limited.
 
-    :raises InputRefused: if a field can't be used.
+    :raises InputRefused: if a field is invalid.
     """
     rate = _read_units(record, 'rate_per_s')
     burst = _read_units(record, 'burst')
@@ -68,5 +68,5 @@
     value = str(getattr(record, field))[:40]
     return InputRefused(
         InputFault.FIELD,
-        f'workspace {record.name!r} has no limit, as its {field} is {value}',
+        f'workspace {record.name!r} is not limited: invalid {field} {value}',
     )
--- a/src/lifttrestle/internal/platform/stored_format.py
+++ b/src/lifttrestle/internal/platform/stored_format.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Translates the rows of the operator and of the upstreams."""
+"""Decodes the rows that the operator and the upstreams write."""
 
 from lifttrestle.errors import InputRefused
 from lifttrestle.internal.fleet.policy.usage_caps import UsageCap
@@ -40,19 +40,22 @@
 MILLISECONDS = 1000
 IDEMPOTENT = 'idempotent'
 STREAM = 'stream'
-# An entry is some 300 bytes long; an engine of many models has a few times
-# that. What is longer comes from no upstream.
+# An entry has some 300 bytes, that of an engine with many models a few times
+# as many. Longer values can't come from an upstream.
 MAX_ENTRY_BYTES = 16 * 1024
 
 
 class PlatformFormat(StoredFormat):
-    """Reads the values that the operator and the upstreams write."""
+    """Decodes the values that the operator and the upstreams write.
+
+    The methods raise ``InputRefused`` for an invalid value.
+    """
 
     operator_table = names.OPERATOR_TABLE
     upstreams_table = names.UPSTREAMS_TABLE
 
     def decode_catalogue(self, key: str, value: bytes) -> Catalogue | None:
-        """Return the configuration, or None for a row that holds none."""
+        """Return the configuration, or None for another kind of row."""
         if key != names.CONFIGURATION_KEY:
             return None
         record = decode_json(value, ConfigurationRecord)
@@ -77,14 +80,14 @@
     def decode_target_weights(
         self, key: str, value: bytes
     ) -> TargetWeights | None:
-        """Return the named weights, or None for a row that names none."""
+        """Return a model's target weights, None for another kind of row."""
         if not key.startswith(names.WEIGHTS_PREFIX):
             return None
         record = decode_json(value, WeightsRecord)
         return TargetWeights(record.model, record.version)
 
     def decode_upstream(self, key: str, value: bytes) -> UpstreamEntry:
-        """Return an upstream's entry."""
+        """Return the entry of an upstream."""
         record = decode_json(value, UpstreamRecord, MAX_ENTRY_BYTES)
         return UpstreamEntry(
             instance=key,
@@ -166,7 +169,7 @@
 def _read_caps(
     record: ConfigurationRecord,
 ) -> tuple[dict[str, UsageCap], tuple[InputRefused, ...]]:
-    """Return the caps by workspace, and why others can't be used."""
+    """Return the valid caps by workspace name, and the faults of others."""
     caps = {}
     faults = []
     for tenant in record.tenants or ():
--- a/src/lifttrestle/internal/platform/upstream_limit.py
+++ b/src/lifttrestle/internal/platform/upstream_limit.py
@@ -10,17 +10,17 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Reads the rate that an upstream says it takes from all routers together.
+"""Reads the rate limit that an upstream reports for all routers together.
 
-| what an answer bears | what it means |
+| header | meaning |
 | --- | --- |
-| nothing | no limit is in force |
-| a decimal number, also zero, also with an exponent | that many a second |
-| the same number twice | the same |
-| two different ones, nothing between blanks, a word, a comma | a fault |
-| a sign, NaN, infinity, more than a float holds, 40 characters | a fault |
+| absent | no limit is in force |
+| one decimal number, zero or more, with or without exponent | that rate |
+| the same value repeated | that rate |
+| different values, an empty or blank value, a word, a comma | invalid |
+| a sign, NaN, infinity, overflow of a float, or over 40 characters | invalid |
 
-A faulty value says nothing: it neither names a limit nor ends one.
+An invalid value is ignored: it neither sets nor removes a limit.
 """
 
 import math
@@ -38,7 +38,7 @@
 
 
 def read_limit(headers: tuple[Header, ...]) -> ReportedLimit:
-    """Return what an answer's headers say of its upstream's limit."""
+    """Return the limit in an answer's headers, in requests per second."""
     values = {value for key, value in headers if key == names.LIMIT}
     if not values:
         return NO_LIMIT
@@ -50,8 +50,7 @@
     return ReportedLimit(
         fault=InputRefused(
             InputFault.FIELD,
-            f'the limit {text[:MAX_CHARACTERS]!r} is no rate and is passed'
-            ' over; send one decimal number of requests a second, zero or'
-            ' more',
+            f'the limit {text[:MAX_CHARACTERS]!r} is invalid and is ignored;'
+            ' send one decimal number of requests per second, zero or more',
         )
     )
--- a/tests/cover/test_node_settings.py
+++ b/tests/cover/test_node_settings.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""The settings file of the users' platform: shape, faults, changes."""
+"""Tests of the settings file of the platform: format, faults, reload."""
 
 import asyncio
 import contextlib
@@ -28,7 +28,7 @@
 from tests.support.fleet import run_fleet
 from tests.support.fleet import wait_until
 
-GOOD = """
+VALID = """
 node_name: "front-a-1"
 ip: "10.1.0.30"
 zone: "a"
@@ -38,7 +38,7 @@
 platform: {address: "10.200.1.7:8784", form: "table"}
 contract_params: {revoke_ms: 4000, retry_slack: 56, lease_ms: 3000}
 """
-BAD = """
+INVALID = """
 node_name: 7
 ip: "10.1.0.30"
 zone: "a"
@@ -61,39 +61,39 @@
             code = main(['check', str(self.path)])
         return code, out.getvalue()
 
-    def test_fields_that_are_not_known_are_ignored(self):
-        code, out = self.check(GOOD)
+    def test_unknown_fields_are_ignored(self):
+        code, out = self.check(VALID)
         self.assertEqual((code, out), (0, f'{self.path}: good\n'))
 
     def test_milliseconds_become_seconds(self):
-        self.path.write_text(GOOD)
+        self.path.write_text(VALID)
         settings = check_node_settings(self.path, 9464).unwrap()
         self.assertEqual(settings.promises.revoke_seconds, 4.0)
         self.assertEqual(settings.metrics_address, '10.1.0.30:9464')
 
-    def test_json_of_our_template_is_read_alike(self):
-        self.path.write_text(GOOD)
+    def test_json_and_yaml_give_the_same_settings(self):
+        self.path.write_text(VALID)
         settings = check_node_settings(self.path, 9464).unwrap()
-        data = msgspec.yaml.decode(GOOD)
+        data = msgspec.yaml.decode(VALID)
         self.path.write_bytes(b'\n' + msgspec.json.encode(data))
-        read = check_node_settings(self.path, 9464).unwrap()
-        self.assertEqual(read, settings)
+        from_json = check_node_settings(self.path, 9464).unwrap()
+        self.assertEqual(from_json, settings)
 
-    def test_json_with_a_fault_is_told(self):
+    def test_malformed_json_is_reported(self):
         code, out = self.check('{"node_name": 7,')
         self.assertEqual(code, 2)
         self.assertIn('(file)', out)
 
     def test_file_is_read_only_when_it_has_changed(self):
-        self.path.write_text(GOOD)
+        self.path.write_text(VALID)
         file = SettingsFile(self.path, 0)
         self.assertIsNotNone(file.read_changed())
         self.assertIsNone(file.read_changed())
-        self.path.write_text(GOOD.replace('4000', '4500'))
+        self.path.write_text(VALID.replace('4000', '4500'))
         self.assertEqual(file.read_changed().promises.revoke_seconds, 4.5)
 
-    def test_every_fault_is_told_at_once(self):
-        code, out = self.check(BAD)
+    def test_all_faults_are_reported_together(self):
+        code, out = self.check(INVALID)
         self.assertEqual(code, 2)
         for key in (
             'node_name',
@@ -105,7 +105,7 @@
 
 
 class TestReload(unittest.IsolatedAsyncioTestCase):
-    async def test_changed_settings_are_applied_and_cut_nothing(self):
+    async def test_changed_settings_are_applied_without_a_restart(self):
         async with run_fleet() as fleet:
             router = fleet.router
             changed = dataclasses.replace(
@@ -114,11 +114,11 @@
                     router.settings.promises, retry_slack=8.0
                 ),
             )
-            following = asyncio.create_task(
+            follow_task = asyncio.create_task(
                 router.follow_settings(lambda: changed)
             )
             router.request_reload()
             await wait_until(lambda: router.settings == changed)
-            following.cancel()
+            follow_task.cancel()
             answer = await fleet.call('/safe/a')
         self.assertEqual(answer.status, 200)
--- a/tests/cover/test_platform_boundary.py
+++ b/tests/cover/test_platform_boundary.py
@@ -10,7 +10,11 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""The platform's words stay in one folder, which decides nothing."""
+"""Tests that only one folder uses the platform's names.
+
+The folder translates between the platform and the fleet. Its size is limited,
+since it may not decide anything.
+"""
 
 import ast
 import pathlib
@@ -19,13 +23,14 @@
 from lifttrestle.internal.platform import names
 
 SOURCE = pathlib.Path(__file__).resolve().parents[2] / 'src' / 'lifttrestle'
+# Only this folder may name the platform's headers, key scheme and so on.
 FOLDER = SOURCE / 'internal' / 'platform'
-# The part of the program that puts everything together.
-ROOTS = ('fleet_router.py', 'check.py', 'held.py', 'node_file.py')
+# Modules that connect the platform to the rest of the program.
+IMPORTERS = ('fleet_router.py', 'check.py', 'held.py', 'node_file.py')
 PACKAGE = 'lifttrestle.internal.platform'
-# Headers of the web's own standards, or that the product's API has as well.
-STANDARD = {'authorization', 'last-event-id', 'tenant', 'model'}
-# The one place in the product that may name the platform's key scheme etc.
+# Headers of HTTP standards, and names that the API of the product uses too.
+SHARED_NAMES = {'authorization', 'last-event-id', 'tenant', 'model'}
+# The folder may not exceed this share of the lines of the source.
 MAX_SHARE = 0.1
 
 
@@ -36,7 +41,7 @@
             found.add(value)
     return {
         value
-        for value in found - STANDARD
+        for value in found - SHARED_NAMES
         if '-' in value or value.startswith('/') or '_' in value
     }
 
@@ -48,7 +53,7 @@
 
 
 class TestBoundary(unittest.TestCase):
-    def test_no_wire_name_stands_outside_the_folder(self):
+    def test_no_wire_name_is_used_outside_the_folder(self):
         wire = list_wire_names()
         self.assertIn('expect-instance', wire)
         found = [
@@ -65,7 +70,7 @@
         importers = [
             path.name for path in list_modules() if PACKAGE in path.read_text()
         ]
-        self.assertEqual(sorted(importers), sorted(ROOTS))
+        self.assertEqual(sorted(importers), sorted(IMPORTERS))
 
     def test_folder_is_under_a_tenth_of_the_source(self):
         def count(paths):
--- a/tests/cover/test_upstream_limit_header.py
+++ b/tests/cover/test_upstream_limit_header.py
@@ -10,13 +10,13 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Tests of what an answer's head says of its upstream's limit."""
+"""Tests of reading an upstream's rate limit from the headers of an answer."""
 
 import unittest
 
 from lifttrestle.internal.platform.upstream_limit import read_limit
 
-NAMED = {
+VALID = {
     '1.2': 1.2,
     '0': 0.0,
     '0.01': 0.01,
@@ -25,7 +25,7 @@
     '1e-05': 1e-05,
     '1E+3': 1000.0,
 }
-FAULTY = (
+INVALID = (
     '',
     ' ',
     '-1',
@@ -50,31 +50,31 @@
 
 
 class TestLimitHeader(unittest.TestCase):
-    def test_answer_without_one_names_no_limit(self):
-        named = read_limit(make_headers())
-        self.assertIsNone(named.rate)
-        self.assertIsNone(named.fault)
+    def test_missing_header_means_no_limit(self):
+        limit = read_limit(make_headers())
+        self.assertIsNone(limit.rate)
+        self.assertIsNone(limit.fault)
 
     def test_decimal_numbers_are_rates(self):
-        for text, rate in NAMED.items():
+        for text, rate in VALID.items():
             with self.subTest(text):
-                named = read_limit(make_headers(text))
-                self.assertEqual(named.rate, rate)
-                self.assertIsNone(named.fault)
+                limit = read_limit(make_headers(text))
+                self.assertEqual(limit.rate, rate)
+                self.assertIsNone(limit.fault)
 
-    def test_anything_else_is_told_with_its_remedy(self):
-        for text in FAULTY:
+    def test_invalid_values_are_reported_with_a_remedy(self):
+        for text in INVALID:
             with self.subTest(text[:20]):
-                named = read_limit(make_headers(text))
-                self.assertIsNone(named.rate)
-                self.assertIn(text[:20], str(named.fault))
-                self.assertIn('send one decimal number', str(named.fault))
-                self.assertLess(len(str(named.fault)), 250)
+                limit = read_limit(make_headers(text))
+                self.assertIsNone(limit.rate)
+                self.assertIn(text[:20], str(limit.fault))
+                self.assertIn('send one decimal number', str(limit.fault))
+                self.assertLess(len(str(limit.fault)), 250)
 
-    def test_two_that_agree_are_one(self):
+    def test_repeated_value_is_one_limit(self):
         self.assertEqual(read_limit(make_headers('2', '2')).rate, 2.0)
 
-    def test_two_that_differ_are_a_fault(self):
-        named = read_limit(make_headers('2', '3'))
-        self.assertIsNone(named.rate)
-        self.assertIn('2, 3', str(named.fault))
+    def test_conflicting_values_are_invalid(self):
+        limit = read_limit(make_headers('2', '3'))
+        self.assertIsNone(limit.rate)
+        self.assertIn('2, 3', str(limit.fault))
--- a/tests/run.py
+++ b/tests/run.py
@@ -10,11 +10,11 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Runs every test, prints the counts, and knows the known failures.
+"""Runs tests, prints the counts and tolerates the known failures.
 
-``KNOWN-RED.txt`` at the root may list, one a line, up to three tests that
-fail for a real fault: ``TEST, CAUSE, ISSUE``. The run passes over just these,
-prints them, and fails if one of them passes, so that the list stays true.
+``KNOWN-RED.txt`` at the root may list, one per line, up to three tests that
+fail for a real fault: ``TEST, CAUSE, ISSUE``. The run tolerates only these,
+prints them, and fails if one of them passes, so that the list stays correct.
 """
 
 import logging
@@ -24,13 +24,13 @@
 import unittest
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
-KNOWN_RED = ROOT / 'KNOWN-RED.txt'
-MAX_KNOWN_RED = 3
+KNOWN_FAILURES = ROOT / 'KNOWN-RED.txt'
+MAX_KNOWN_FAILURES = 3
 SLOWEST_SHOWN = 5
 
 
 class TimedResult(unittest.TextTestResult):
-    """Remembers how long each test took, and which passed."""
+    """Records the duration of each test and which tests passed."""
 
     def __init__(self, *arguments: object, **options: object) -> None:
         super().__init__(*arguments, **options)  # type: ignore[arg-type]
@@ -39,38 +39,38 @@
         self._started = 0.0
 
     def startTest(self, test: unittest.TestCase) -> None:
-        """Note the start."""
+        """Record the start time."""
         self._started = time.monotonic()
         super().startTest(test)
 
     def stopTest(self, test: unittest.TestCase) -> None:
-        """Note the end."""
+        """Record the duration."""
         self.seconds[test.id()] = time.monotonic() - self._started
         super().stopTest(test)
 
     def addSuccess(self, test: unittest.TestCase) -> None:
-        """Note a pass."""
+        """Record that a test passed."""
         self.passed.add(test.id())
         super().addSuccess(test)
 
 
-def read_known_red() -> dict[str, str]:
-    """Return the listed tests with their causes."""
-    if not KNOWN_RED.exists():
+def read_known_failures() -> dict[str, str]:
+    """Return the lines of the list by test name."""
+    if not KNOWN_FAILURES.exists():
         return {}
     lines = [
         line.strip()
-        for line in KNOWN_RED.read_text().splitlines()
+        for line in KNOWN_FAILURES.read_text().splitlines()
         if line.strip() and not line.startswith('#')
     ]
-    if len(lines) > MAX_KNOWN_RED:
-        sys.exit(f'{KNOWN_RED.name} lists {len(lines)} tests; 3 at most')
+    if len(lines) > MAX_KNOWN_FAILURES:
+        sys.exit(f'{KNOWN_FAILURES.name} lists {len(lines)} tests; 3 at most')
     return {line.split(',')[0].strip(): line for line in lines}
 
 
 def main(names: list[str]) -> int:
-    """Run the named tests, or all; return the exit code."""
-    # What the code under test logs is no part of the report.
+    """Run the named tests, by default all; return the exit code."""
+    # Keeps log output of the code under test out of the report.
     logging.getLogger('lifttrestle').addHandler(logging.NullHandler())
     loader = unittest.TestLoader()
     if names:
@@ -85,26 +85,26 @@
 
 def report(result: TimedResult, partial: bool) -> int:
     """Print the counts and return the exit code."""
-    known = read_known_red()
-    bad = {test.id() for test, _ in result.failures + result.errors}
-    bad |= {test.id() for test in result.unexpectedSuccesses}
-    expected = bad & known.keys()
-    mended = sorted(known.keys() & result.passed)
+    known_failures = read_known_failures()
+    failed = {test.id() for test, _ in result.failures + result.errors}
+    failed |= {test.id() for test in result.unexpectedSuccesses}
+    expected = failed & known_failures.keys()
+    fixed = sorted(known_failures.keys() & result.passed)
     slowest = sorted(result.seconds, key=result.seconds.__getitem__)
     for name in reversed(slowest[-SLOWEST_SHOWN:]):
         print(f'{result.seconds[name]:6.2f} s  {name}')
     for name in sorted(expected):
-        print(f'known failure: {known[name]}')
-    for name in mended:
-        print(f'listed as failing, but passes; take it off: {name}')
+        print(f'known failure: {known_failures[name]}')
+    for name in fixed:
+        print(f'listed as failing, but passes; remove it: {name}')
     passed = len(result.passed)
     skipped = len(result.skipped)
-    print(f'{passed} passed, {len(bad)} failed, {skipped} skipped')
-    unknown = known.keys() - bad - result.passed
-    if unknown and not partial:
-        print(f'listed as failing, but not run: {sorted(unknown)}')
+    print(f'{passed} passed, {len(failed)} failed, {skipped} skipped')
+    not_run = known_failures.keys() - failed - result.passed
+    if not_run and not partial:
+        print(f'listed as failing, but not run: {sorted(not_run)}')
         return 1
-    if not passed or bad - expected or mended:
+    if not passed or failed - expected or fixed:
         return 1
     return 0
 
