--- a/src/lifttrestle/internal/replay/recorder.py
+++ b/src/lifttrestle/internal/replay/recorder.py
@@ -39,7 +39,7 @@
         self._file = path.open('wb', buffering=0)
         self._write(make_header(title, upstreams))
 
-    def note(
+    def record(
         self,
         at: float,
         workspace: str,
--- a/src/lifttrestle/internal/router/model_exchange.py
+++ b/src/lifttrestle/internal/router/model_exchange.py
@@ -340,7 +340,7 @@
             attempt, self._prompt, usage.cached_tokens, usage.completion_tokens
         )
         if self._parts.recorder is not None:
-            self._parts.recorder.note(
+            self._parts.recorder.record(
                 self._scope.started,
                 self._scope.workspace.name,
                 self._model.name,
