--- a/src/lifttrestle/internal/replay/engine.py
+++ b/src/lifttrestle/internal/replay/engine.py
@@ -10,10 +10,10 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""A small cost model of an engine: a bounded cache, prefill, slots.
+"""A cost model of an inference engine: prefix cache, prefill and slots.
 
-Prefill is the engine's one compute resource and is done in turn; decoding
-holds a slot at a steady pace. There is no network and no membership in it.
+Prompts are prefilled one after the other. Decoding occupies a slot and takes
+the same time for each token. The model has no network and no membership.
 """
 
 import collections
@@ -25,7 +25,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class EngineCosts:
-    """The constants of the model, calibrated against the stand-in."""
+    """Parameters of the cost model, calibrated against the engine stand-in."""
 
     cache_tokens: int = 40_000
     slots: int = 32
@@ -34,20 +34,24 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Served:
-    """What one request cost.
+class ServeResult:
+    """When a request was answered and how much of its prompt was cached.
 
-    :ivar first: when its first token came, and ``last`` its last one.
-    :ivar cached: tokens of its prompt that were in the cache.
+    :ivar first_token_at: time of the first output token, in seconds.
+    :ivar last_token_at: time of the last output token, in seconds.
+    :ivar cached_tokens: prompt tokens found in the prefix cache.
     """
 
-    first: float
-    last: float
-    cached: int
+    first_token_at: float
+    last_token_at: float
+    cached_tokens: int
 
 
 class PrefixCache:
-    """Prefix levels with their own lengths, the oldest used going first."""
+    """An LRU cache of prefix levels.
+
+    :param capacity: maximum number of cached tokens.
+    """
 
     def __init__(self, capacity: int) -> None:
         self._capacity = capacity
@@ -57,7 +61,7 @@
         )
 
     def count_cached(self, request: TraceRequest) -> int:
-        """Return how many tokens of the prompt are held."""
+        """Return how many tokens of the prompt are cached."""
         cached = 0
         for digest, tokens in request.levels:
             if digest not in self._levels:
@@ -66,15 +70,15 @@
         return cached
 
     def admit(self, request: TraceRequest) -> list[str]:
-        """Hold the prompt's levels; return the digests that went."""
+        """Cache the prompt and return the digests of the evicted levels."""
         lengths = []
-        before = 0
+        offset = 0
         for digest, tokens in request.levels:
-            lengths.append((digest, tokens - before))
-            before = tokens
-        # The question takes room as well, though no one asks for it again.
-        own = f'{request.at} {request.workspace}'
-        lengths.append((own, request.tokens - before))
+            lengths.append((digest, tokens - offset))
+            offset = tokens
+        # The rest of the prompt is unique, but it also occupies the cache.
+        unique_key = f'{request.at} {request.workspace}'
+        lengths.append((unique_key, request.tokens - offset))
         for digest, length in reversed(lengths):
             if digest not in self._levels:
                 self._levels[digest] = length
@@ -83,16 +87,16 @@
         return self._evict()
 
     def _evict(self) -> list[str]:
-        gone = []
+        evicted = []
         while self._used > self._capacity and len(self._levels) > 1:
             digest, length = self._levels.popitem(last=False)
             self._used -= length
-            gone.append(digest)
-        return gone
+            evicted.append(digest)
+        return evicted
 
 
 class ReplayEngine:
-    """One engine; requests are given to it in the order of their times."""
+    """A simulated engine; it must receive requests in order of their times."""
 
     def __init__(self, name: str, costs: EngineCosts) -> None:
         self.name = name
@@ -101,35 +105,35 @@
         self.alive = True
         self.served = 0
         self.cache = PrefixCache(costs.cache_tokens)
-        self._prefill_free = 0.0
+        self._prefill_free_at = 0.0
         self._slot_ends: list[float] = []
 
-    def serve(self, request: TraceRequest, now: float) -> Served:
-        """Return what the request costs, starting at ``now``."""
+    def serve(self, request: TraceRequest, now: float) -> ServeResult:
+        """Process a request that arrives at ``now`` and return its result."""
         self.served += 1
         while self._slot_ends and self._slot_ends[0] <= now:
             heapq.heappop(self._slot_ends)
         start = now
         if len(self._slot_ends) >= self.costs.slots:
             start = heapq.heappop(self._slot_ends)
-        start = max(start, self._prefill_free)
+        start = max(start, self._prefill_free_at)
         cached = self.cache.count_cached(request)
         self.cache.admit(request)
-        missing = request.tokens - cached
-        first = start + missing / self.costs.prefill_tokens_per_second
-        self._prefill_free = first
+        uncached = request.tokens - cached
+        first = start + uncached / self.costs.prefill_tokens_per_second
+        self._prefill_free_at = first
         first += self.costs.decode_seconds
         last = first + (request.output_tokens - 1) * self.costs.decode_seconds
         heapq.heappush(self._slot_ends, last)
-        return Served(first, last, cached)
+        return ServeResult(first, last, cached)
 
     def count_load(self, now: float) -> int:
-        """Return how many requests run or wait."""
+        """Return the number of running and queued requests."""
         return sum(end > now for end in self._slot_ends)
 
     def crash(self) -> None:
-        """Lose everything; the engine is there again, empty, at once."""
+        """Drop the cache, free all slots and restart without delay."""
         self.incarnation += 1
         self.cache = PrefixCache(self.costs.cache_tokens)
         self._slot_ends.clear()
-        self._prefill_free = 0.0
+        self._prefill_free_at = 0.0
--- a/src/lifttrestle/internal/replay/event_index.py
+++ b/src/lifttrestle/internal/replay/event_index.py
@@ -10,9 +10,9 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""A baseline: routing by an index that engines' cache events feed.
+"""Baseline policy: routing by an index built from cache events of engines.
 
-Events come late and some are lost, as the engines publish them.
+Events are delayed and some are lost, as with the events of real engines.
 """
 
 import collections
@@ -23,14 +23,14 @@
 from lifttrestle.internal.routing.policy import Policy
 from lifttrestle.internal.routing.prompt import Prompt
 
-LOAD_SECONDS = 0.02
+LOAD_PENALTY_SECONDS = 0.02
 
 
 class EventIndexPolicy(Policy):
-    """Keeps which digests each upstream is said to hold.
+    """Chooses by the digests that each upstream has reported as cached.
 
-    :param lag_seconds: how late an event counts.
-    :param loss: the share of events that never come.
+    :param lag_seconds: delay until an event takes effect.
+    :param loss: fraction of the events that are lost.
     """
 
     def __init__(
@@ -39,45 +39,48 @@
         self._source = source
         self._lag = lag_seconds
         self._loss = loss
-        self._held: dict[str, set[bytes]] = collections.defaultdict(set)
-        self._coming: collections.deque[tuple[float, str, bytes, bool]] = (
+        self._cached: dict[str, set[bytes]] = collections.defaultdict(set)
+        self._pending: collections.deque[tuple[float, str, bytes, bool]] = (
             collections.deque()
         )
 
     def note_event(
         self, now: float, upstream: str, digest: bytes, stored: bool
     ) -> None:
-        """Take an event that an engine publishes now."""
+        """Queue an event that an upstream publishes, or lose it.
+
+        :param stored: whether the digest was cached, or else evicted.
+        """
         if self._source.random() >= self._loss:
-            self._coming.append((now + self._lag, upstream, digest, stored))
+            self._pending.append((now + self._lag, upstream, digest, stored))
 
     def choose(
         self, prompt: Prompt, candidates: list[Candidate], now: float
     ) -> Choice:
-        """Return the candidate with the least expected time."""
+        """Return the candidate with the lowest estimated cost."""
         self._apply_events(now)
         self._source.shuffle(candidates)
-        choices = [self._expect(prompt, item) for item in candidates]
+        choices = [self._estimate(prompt, item) for item in candidates]
         return min(choices, key=lambda choice: choice.expected_seconds)
 
     def _apply_events(self, now: float) -> None:
-        while self._coming and self._coming[0][0] <= now:
-            _, upstream, digest, stored = self._coming.popleft()
-            held = self._held[upstream]
+        while self._pending and self._pending[0][0] <= now:
+            _, upstream, digest, stored = self._pending.popleft()
+            digests = self._cached[upstream]
             if stored:
-                held.add(digest)
+                digests.add(digest)
             else:
-                held.discard(digest)
+                digests.discard(digest)
 
-    def _expect(self, prompt: Prompt, candidate: Candidate) -> Choice:
+    def _estimate(self, prompt: Prompt, candidate: Candidate) -> Choice:
         cached = 0
         for level in prompt.levels:
-            if level.digest not in self._held[candidate.name]:
+            if level.digest not in self._cached[candidate.name]:
                 break
             cached = level.tokens
-        missing = prompt.tokens - cached
+        uncached = prompt.tokens - cached
         seconds = (
-            missing / candidate.prefill_tokens_per_second
-            + candidate.load * LOAD_SECONDS
+            uncached / candidate.prefill_tokens_per_second
+            + candidate.load * LOAD_PENALTY_SECONDS
         )
         return Choice(candidate.name, 'index', seconds, cached)
--- a/src/lifttrestle/internal/replay/faults.py
+++ b/src/lifttrestle/internal/replay/faults.py
@@ -10,18 +10,19 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""What goes wrong during a replay."""
+"""Faults that can be injected into a replay."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True)
 class ReplayFaults:
-    """Faults of the engines and of what is known about them.
+    """Faults of the engines and of the information that routers receive.
 
-    :ivar crash_at: when the first engine crashes, or a negative time.
-    :ivar event_loss: the share of cache events that are lost.
-    :ivar report_lag: how late load reports are, in seconds.
+    :ivar crash_at: time in seconds at which the first engine crashes, or a
+        negative number for no crash.
+    :ivar event_loss: fraction of the cache events that are lost.
+    :ivar report_lag: delay of load reports in seconds.
     """
 
     crash_at: float = -1.0
--- a/src/lifttrestle/internal/replay/figures.py
+++ b/src/lifttrestle/internal/replay/figures.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""What a replay measures."""
+"""The measurements of a replay."""
 
 import dataclasses
 
@@ -18,13 +18,16 @@
 
 
 class Figures(msgspec.Struct, frozen=True):
-    """The measures of the brief, for one policy on one trace.
-
-    Times are in seconds, ``wasted_tokens`` are prompt tokens recomputed
-    while an allowed live engine held them.
-
-    :ivar ideal_hit_rate: what one engine with all the memory would reach.
-    :ivar spread: the most loaded engine's requests over the mean.
+    """Results of one policy on one trace under one fault.
+
+    :ivar hit_rate: fraction of the prompt tokens that were cached.
+    :ivar ideal_hit_rate: hit rate of a single engine with the cache capacity
+        of all engines.
+    :ivar first_p50: median time to the first token in seconds; ``first_p99``
+        and ``first_p999`` are further percentiles.
+    :ivar wasted_tokens: prompt tokens that were recomputed although another
+        engine had them cached.
+    :ivar spread: requests of the most loaded engine, relative to the mean.
     """
 
     policy: str
@@ -41,16 +44,19 @@
 
 
 @dataclasses.dataclass
-class Tally:
-    """Counts while a replay runs."""
+class Totals:
+    """Values that a replay accumulates.
+
+    :ivar first_token_seconds: times to the first token of all requests.
+    """
 
-    firsts: list[float] = dataclasses.field(default_factory=list)
+    first_token_seconds: list[float] = dataclasses.field(default_factory=list)
     prompt_tokens: int = 0
     cached_tokens: int = 0
     ideal_tokens: int = 0
     wasted_tokens: int = 0
 
 
-def pick(ordered: list[float], share: float) -> float:
-    """Return the value below which ``share`` of the ordered ones lie."""
-    return ordered[min(int(len(ordered) * share), len(ordered) - 1)]
+def get_quantile(ordered: list[float], fraction: float) -> float:
+    """Return the value below which ``fraction`` of the sorted values lie."""
+    return ordered[min(int(len(ordered) * fraction), len(ordered) - 1)]
--- a/src/lifttrestle/internal/replay/flat.py
+++ b/src/lifttrestle/internal/replay/flat.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""A baseline: one rendezvous home for each whole prefix, by load."""
+"""Baseline policy: rendezvous hashing of the innermost prefix level."""
 
 from lifttrestle.internal.routing.candidate import Candidate
 from lifttrestle.internal.routing.choice import Choice
@@ -18,20 +18,20 @@
 from lifttrestle.internal.routing.prompt import Prompt
 from lifttrestle.internal.routing.rendezvous import rank_names
 
-FULL_SHARE = 1.0
+MAX_UTILIZATION = 1.0
 
 
 class FlatRendezvousPolicy(Policy):
-    """Takes the first home of the innermost level that is not full."""
+    """Chooses the first upstream in the ranking that is not full."""
 
     def choose(
         self, prompt: Prompt, candidates: list[Candidate], now: float
     ) -> Choice:
-        """Return the best ranked candidate with a free slot."""
+        """Return the first candidate with a free slot, or the first of all."""
         by_name = {item.name: item for item in candidates}
         ranking = rank_names(prompt.levels[-1].digest, list(by_name))
         for name in ranking:
             candidate = by_name[name]
-            if candidate.load < candidate.slots * FULL_SHARE:
+            if candidate.load < candidate.slots * MAX_UTILIZATION:
                 return Choice(name, 'home')
         return Choice(ranking[0], 'all are full')
--- a/src/lifttrestle/internal/replay/generator.py
+++ b/src/lifttrestle/internal/replay/generator.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Writes traces that follow the brief, from a seed."""
+"""Generates traces of a scenario from a seed."""
 
 import hashlib
 import random
@@ -21,28 +21,28 @@
 from lifttrestle.internal.replay.trace import Trace
 
 DIGEST_BYTES = 8
-URGENT = 0
-USUAL = 5
-MAX_PRIORITY = 8
+URGENT_PRIORITY = 0
+DEFAULT_PRIORITY = 5
+LOW_PRIORITY = 8
 
 
 def generate_trace(scenario: Scenario, seed: int) -> Trace:
-    """Return the trace of a scenario; equal seeds give equal traces."""
+    """Generate a trace; equal seeds give equal traces."""
     source = random.Random(seed)
     requests = []
     at = 0.0
     number = 0
     while True:
-        at += source.expovariate(_get_rate(scenario, at))
-        if at >= scenario.seconds:
+        at += source.expovariate(_get_request_rate(scenario, at))
+        if at >= scenario.duration_seconds:
             break
         number += 1
         requests.append(_make_request(scenario, source, at, number))
     return Trace(make_header(scenario.title, scenario.upstreams), requests)
 
 
-def _get_rate(scenario: Scenario, at: float) -> float:
-    return scenario.rate * (
+def _get_request_rate(scenario: Scenario, at: float) -> float:
+    return scenario.requests_per_second * (
         scenario.burst_factor if _is_burst(scenario, at) else 1.0
     )
 
@@ -60,30 +60,32 @@
     ranks = range(1, scenario.workspaces + 1)
     weights = [1 / rank for rank in ranks]
     workspace = source.choices(ranks, weights)[0]
-    sheet = source.randrange(scenario.sheets)
+    document = source.randrange(scenario.documents)
     if source.random() < scenario.hot_share:
         workspace = 1
         shifts = sum(at >= shift for shift in scenario.hot_shifts)
-        sheet = scenario.sheets + shifts
-    question = max(int(source.gauss(scenario.question, 20)), 10)
-    upper = scenario.instructions
-    middle = upper + scenario.sheet
+        document = scenario.documents + shifts
+    question_tokens = max(int(source.gauss(scenario.question_tokens, 20)), 10)
+    instructions_end = scenario.instruction_tokens
+    document_end = instructions_end + scenario.document_tokens
     levels = (
-        (_hash(f'{workspace}'), upper),
-        (_hash(f'{workspace} {sheet}'), middle),
+        (_hash(f'{workspace}'), instructions_end),
+        (_hash(f'{workspace} {document}'), document_end),
     )
     urgent = (
         _is_burst(scenario, at) and source.random() < scenario.urgent_share
     )
-    priority = USUAL if workspace <= 2 else MAX_PRIORITY
+    priority = DEFAULT_PRIORITY if workspace <= 2 else LOW_PRIORITY
     return TraceRequest(
         at=round(at, 6),
         workspace=f'workspace-{workspace}',
         model='model',
         levels=levels,
-        tokens=middle + question,
-        output_tokens=max(int(source.expovariate(1 / scenario.output)), 1),
-        priority=URGENT if urgent else priority,
+        tokens=document_end + question_tokens,
+        output_tokens=max(
+            int(source.expovariate(1 / scenario.output_tokens)), 1
+        ),
+        priority=URGENT_PRIORITY if urgent else priority,
     )
 
 
--- a/src/lifttrestle/internal/replay/goodput.py
+++ b/src/lifttrestle/internal/replay/goodput.py
@@ -10,10 +10,10 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Replays a trace at a multiple of its speed, with admission.
+"""Replays a trace at a multiple of its speed, with admission control.
 
-Each router has the product's own admission queue in front of its policy. A
-request is good if its first token comes within the caller's patience.
+Each router uses the admission queue of the product before its policy. A
+request counts as good if its first token arrives before its deadline.
 """
 
 import heapq
@@ -27,7 +27,7 @@
 from lifttrestle.internal.admission.ticket import Ticket
 from lifttrestle.internal.replay.engine import EngineCosts
 from lifttrestle.internal.replay.engine import ReplayEngine
-from lifttrestle.internal.replay.figures import pick
+from lifttrestle.internal.replay.figures import get_quantile
 from lifttrestle.internal.replay.policies import POLICIES
 from lifttrestle.internal.replay.request import TraceRequest
 from lifttrestle.internal.replay.runner import make_prompt
@@ -36,17 +36,20 @@
 from lifttrestle.internal.replay.trace import Trace
 from lifttrestle.internal.routing.candidate import Candidate
 
-PATIENCE_SECONDS = 5.0
+FIRST_TOKEN_DEADLINE_SECONDS = 5.0
 
 
 class GoodputFigures(msgspec.Struct, frozen=True):
-    """What came of a trace at a multiple of its speed.
-
-    :ivar good: requests a second whose first token came in time.
-    :ivar late: answered, but too late to be of use.
-    :ivar refused: told at once, or at their deadline, to come back.
-    :ivar urgent_p99: seconds to the first token for the highest priority
-        that the trace has, among those answered.
+    """Results of a trace at a multiple of its speed.
+
+    :ivar offered: requests per second that arrived.
+    :ivar good: requests per second whose first token met the deadline.
+    :ivar late: number of requests whose first token missed the deadline.
+    :ivar refused: number of requests refused by a full queue or at their
+        deadline.
+    :ivar urgent_p99: 99th percentile of the seconds to the first token, of
+        the answered requests with the highest priority in the trace.
+    :ivar urgent_refused: number of refused requests with that priority.
     """
 
     speed: float
@@ -59,11 +62,11 @@
 
 
 class GoodputReplay:
-    """One run of our policy behind admission queues.
+    """One run of the ``nested`` policy behind admission queues.
 
-    :param speed: how much faster than recorded the requests come.
-    :param running: requests that one router works on at the same time.
-    :param length: requests that may wait at one router.
+    :param speed: arrival rate, as a multiple of the recorded one.
+    :param running: requests that one router may process concurrently.
+    :param queue_length: requests that may wait at one router.
     """
 
     def __init__(
@@ -71,7 +74,7 @@
         trace: Trace,
         speed: float,
         running: int,
-        length: int,
+        queue_length: int,
         seed: int,
         costs: EngineCosts,
     ) -> None:
@@ -84,47 +87,49 @@
             for _ in range(ROUTERS)
         ]
         self._queues = [
-            AdmissionQueue(running, length) for _ in range(ROUTERS)
+            AdmissionQueue(running, queue_length) for _ in range(ROUTERS)
         ]
         self._engines = [
             ReplayEngine(f'engine-{number}', costs)
             for number in range(trace.header.upstreams)
         ]
         self._waiting: dict[Ticket, tuple[TraceRequest, float]] = {}
-        self._ends: list[tuple[float, int, int, str]] = []
-        self._order = itertools.count()
-        self._firsts: list[tuple[int, float]] = []
+        self._completions: list[tuple[float, int, int, str]] = []
+        self._sequence = itertools.count()
+        self._first_token_seconds: list[tuple[int, float]] = []
         self._refused: list[int] = []
 
     def run(self) -> GoodputFigures:
         """Replay every request and return the figures."""
         for request in self._trace.requests:
             now = request.at / self._speed
-            self._end_until(now)
+            self._complete_until(now)
             router = self._source.randrange(ROUTERS)
-            ticket = Ticket(request.priority, now + PATIENCE_SECONDS)
+            ticket = Ticket(
+                request.priority, now + FIRST_TOKEN_DEADLINE_SECONDS
+            )
             self._waiting[ticket] = (request, now)
-            step = self._queues[router].offer(ticket, now)
-            self._apply(step, router, now)
-        self._end_until(float('inf'))
-        return self._summarise()
-
-    def _end_until(self, now: float) -> None:
-        while self._ends and self._ends[0][0] <= now:
-            at, _, router, name = heapq.heappop(self._ends)
+            result = self._queues[router].offer(ticket, now)
+            self._apply(result, router, now)
+        self._complete_until(float('inf'))
+        return self._summarize()
+
+    def _complete_until(self, now: float) -> None:
+        while self._completions and self._completions[0][0] <= now:
+            at, _, router, name = heapq.heappop(self._completions)
             self._routers[router].in_flight[name] -= 1
             self._apply(self._queues[router].release(at), router, at)
 
-    def _apply(self, step: AdmissionResult, router: int, now: float) -> None:
-        for ticket in step.refused:
+    def _apply(self, result: AdmissionResult, router: int, now: float) -> None:
+        for ticket in result.refused:
             self._waiting.pop(ticket)
             self._refused.append(ticket.priority)
-        for ticket in step.started:
-            request, came = self._waiting.pop(ticket)
-            self._start(request, came, router, now)
+        for ticket in result.started:
+            request, arrived_at = self._waiting.pop(ticket)
+            self._start(request, arrived_at, router, now)
 
     def _start(
-        self, request: TraceRequest, came: float, index: int, now: float
+        self, request: TraceRequest, arrived_at: float, index: int, now: float
     ) -> None:
         router = self._routers[index]
         prompt = make_prompt(request)
@@ -145,26 +150,33 @@
         engine = next(
             item for item in self._engines if item.name == choice.name
         )
-        served = engine.serve(request, now)
+        result = engine.serve(request, now)
         router.in_flight[engine.name] += 1
-        end = (served.last, next(self._order), index, engine.name)
-        heapq.heappush(self._ends, end)
-        self._firsts.append((request.priority, served.first - came))
+        end = (result.last_token_at, next(self._sequence), index, engine.name)
+        heapq.heappush(self._completions, end)
+        self._first_token_seconds.append(
+            (request.priority, result.first_token_at - arrived_at)
+        )
 
-    def _summarise(self) -> GoodputFigures:
+    def _summarize(self) -> GoodputFigures:
         requests = self._trace.requests
         seconds = requests[-1].at / self._speed
-        good = sum(first <= PATIENCE_SECONDS for _, first in self._firsts)
+        good = sum(
+            first <= FIRST_TOKEN_DEADLINE_SECONDS
+            for _, first in self._first_token_seconds
+        )
         urgent = min(request.priority for request in requests)
         firsts = sorted(
-            first for priority, first in self._firsts if priority == urgent
+            first
+            for priority, first in self._first_token_seconds
+            if priority == urgent
         )
         return GoodputFigures(
             speed=self._speed,
             offered=len(requests) / seconds,
             good=good / seconds,
-            late=len(self._firsts) - good,
+            late=len(self._first_token_seconds) - good,
             refused=len(self._refused),
-            urgent_p99=pick(firsts, 0.99) if firsts else 0.0,
+            urgent_p99=get_quantile(firsts, 0.99) if firsts else 0.0,
             urgent_refused=self._refused.count(urgent),
         )
--- a/src/lifttrestle/internal/replay/nested_first.py
+++ b/src/lifttrestle/internal/replay/nested_first.py
@@ -10,13 +10,14 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Our first policy, kept as a baseline: several homes for each level.
-
-The outermost prefix ranks all upstreams and keeps a few as its homes; each
-further level ranks only those and keeps fewer. So a shared prefix is computed
-on few engines and the levels below it on fewer still, and every router finds
-the same homes without a message. Among the homes, and two upstreams drawn at
-random as a way out of a crowd, the least expected time to first token wins.
+"""Baseline policy: a simpler ``NestedPolicy`` with fewer homes per level.
+
+The outermost prefix level ranks all upstreams and selects the first ones as
+its homes; each further level ranks only these homes and selects fewer. A
+shared prefix is thus computed on few engines, the levels below it on even
+fewer, and all routers derive the same homes without communication. Of the
+homes and two randomly sampled upstreams, which relieve busy homes, the one
+with the lowest estimated cost is chosen.
 """
 
 import dataclasses
@@ -36,16 +37,22 @@
 
 @dataclasses.dataclass(frozen=True)
 class FirstNestedSettings:
-    """The constants of the policy.
-
-    :ivar homes: how many homes each level keeps, outermost first; the last
-        number serves for all further levels.
-    :ivar service_seconds: the time a request holds a slot, as a first guess.
-    :ivar load_penalty_seconds: what each running request costs while there
-        are free slots; an engine that batches hardly slows down for one.
-    :ivar rank_penalty_seconds: what each step down the ranking costs, so
-        that equal upstreams are not chosen in turn.
-    :ivar home_prior: how likely a home holds a prefix without evidence.
+    """Parameters of the policy.
+
+    :ivar homes: number of homes of each prefix level, outermost first; the
+        last number applies to all further levels.
+    :ivar service_seconds: estimated time for which a request occupies a slot.
+    :ivar load_penalty_seconds: estimated cost of each running request while
+        there are free slots. It is small, since one more request hardly slows
+        down an engine that batches.
+    :ivar rank_penalty_seconds: estimated cost of each position in the
+        ranking, so that a router does not alternate between equal upstreams.
+    :ivar random_choices: number of candidates sampled besides the homes.
+    :ivar home_prior: probability that a home has cached a prefix for which
+        this router has no evidence.
+    :ivar evidence_seconds: age at which cache evidence expires.
+    :ivar evidence_entries: maximum number of cache evidence entries.
+    :ivar ranking_entries: maximum number of cached rankings.
     """
 
     homes: tuple[int, ...] = (3, 2, 1)
@@ -60,7 +67,7 @@
 
 
 class FirstNestedPolicy(Policy):
-    """Nested rendezvous hashing with evidence from answers."""
+    """Chooses by nested rendezvous hashing and cache evidence."""
 
     def __init__(
         self,
@@ -77,51 +84,56 @@
     def choose(
         self, prompt: Prompt, candidates: list[Candidate], now: float
     ) -> Choice:
-        """Return the candidate with the least expected time."""
+        """Return the candidate with the lowest estimated cost."""
         by_name = {item.name: item for item in candidates}
         if not prompt.levels:
-            return self._spread(candidates, by_name, now)
-        homes = self._find_homes(prompt, tuple(by_name))
-        best = self._weigh(prompt, homes, by_name, now)
-        drawn = sample_non_homes(
+            return self._choose_nearest(candidates, by_name, now)
+        homes = self._rank_homes(prompt, tuple(by_name))
+        best = self._choose_cheapest(prompt, homes, by_name, now)
+        sampled = sample_non_homes(
             self._source, candidates, homes, self._settings.random_choices
         )
-        others = [item.name for item in drawn]
+        others = [item.name for item in sampled]
         if not others:
             return best
-        way_out = self._weigh(
+        alternative = self._choose_cheapest(
             prompt, others, by_name, now, 'homes are busy', len(homes)
         )
-        saved = best.expected_seconds - way_out.expected_seconds
-        if saved > self._count_likely_loss(prompt, best, by_name):
-            return way_out
+        saved_seconds = best.expected_seconds - alternative.expected_seconds
+        if saved_seconds > self._estimate_prefill_loss(prompt, best, by_name):
+            return alternative
         return best
 
-    def _count_likely_loss(
+    def _estimate_prefill_loss(
         self, prompt: Prompt, home: Choice, by_name: dict[str, Candidate]
     ) -> float:
-        """Return the seconds of prefill that leaving a home may cost.
+        """Return the expected extra prefill, in seconds, of not using a home.
 
-        A home without evidence may well hold the prefix: another router may
-        have sent it there.
+        A home may have cached the prefix even if this router has no evidence
+        of it, as other routers may have sent the prefix there.
         """
         if home.expected_cached:
             return 0.0
         rate = by_name[home.name].prefill_tokens_per_second
         return self._settings.home_prior * prompt.levels[-1].tokens / rate
 
-    def _spread(
+    def _choose_nearest(
         self,
         candidates: list[Candidate],
         by_name: dict[str, Candidate],
         now: float,
     ) -> Choice:
-        """Return the better of two drawn at random, the nearest first."""
-        drawn = sample_nearest(
+        """Return the cheapest of a random sample of the nearest candidates.
+
+        This is for requests without prefix levels.
+        """
+        sampled = sample_nearest(
             self._source, candidates, self._settings.random_choices
         )
-        names = [item.name for item in drawn]
-        return self._weigh(NO_PROMPT, names, by_name, now, 'least loaded')
+        names = [item.name for item in sampled]
+        return self._choose_cheapest(
+            NO_PROMPT, names, by_name, now, 'least loaded'
+        )
 
     def observe(
         self,
@@ -130,10 +142,10 @@
         cached_tokens: int,
         now: float,
     ) -> None:
-        """Remember what the candidate holds after its answer."""
+        """Record that the candidate has computed the prompt."""
         self._evidence.note_computed(prompt, candidate, now)
 
-    def _find_homes(self, prompt: Prompt, names: tuple[str, ...]) -> list[str]:
+    def _rank_homes(self, prompt: Prompt, names: tuple[str, ...]) -> list[str]:
         homes = list(names)
         counts = self._settings.homes
         for index, level in enumerate(prompt.levels):
@@ -141,7 +153,7 @@
             homes = self._rankings.rank(level.digest, homes)[: max(count, 1)]
         return homes
 
-    def _weigh(
+    def _choose_cheapest(
         self,
         prompt: Prompt,
         names: list[str],
@@ -151,12 +163,12 @@
         first_rank: int = 0,
     ) -> Choice:
         choices = [
-            self._expect(prompt, by_name[name], rank, reason, now)
+            self._estimate(prompt, by_name[name], rank, reason, now)
             for rank, name in enumerate(names, first_rank)
         ]
         return min(choices, key=lambda choice: choice.expected_seconds)
 
-    def _expect(
+    def _estimate(
         self,
         prompt: Prompt,
         candidate: Candidate,
@@ -165,12 +177,12 @@
         now: float,
     ) -> Choice:
         cached = self._evidence.estimate_cached_tokens(prompt, candidate, now)
-        missing = max(prompt.tokens - cached, 0)
-        waiting = max(candidate.load + 1 - candidate.slots, 0)
+        uncached = max(prompt.tokens - cached, 0)
+        excess = max(candidate.load + 1 - candidate.slots, 0)
         seconds = (
-            waiting / candidate.slots * self._settings.service_seconds
+            excess / candidate.slots * self._settings.service_seconds
             + candidate.load * self._settings.load_penalty_seconds
-            + missing / candidate.prefill_tokens_per_second
+            + uncached / candidate.prefill_tokens_per_second
             + candidate.distance_seconds
             + rank * self._settings.rank_penalty_seconds
         )
--- a/src/lifttrestle/internal/replay/outcome.py
+++ b/src/lifttrestle/internal/replay/outcome.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""The outcomes that are stated beside a trace, and whether they hold."""
+"""Checks the figures of a replay against the bounds stated for the trace."""
 
 import pathlib
 
@@ -23,9 +23,11 @@
 class StatedOutcome(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Bounds on the figures of one policy under one fault.
 
-    :ivar hit_rate_of_ideal: at least this share of the ideal hit rate.
-    :ivar first_p99: at most so many seconds.
-    :ivar wasted_share: at most this share of all prompt tokens.
+    :ivar hit_rate_of_ideal: minimum hit rate, as a fraction of the ideal one.
+    :ivar first_p99: maximum of the 99th percentile of the time to the first
+        token, in seconds.
+    :ivar wasted_share: maximum number of wasted tokens, as a fraction of
+        all prompt tokens.
     """
 
     policy: str
@@ -36,15 +38,15 @@
 
 
 class OutcomeFile(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """All outcomes stated for one trace."""
+    """The file format of the outcomes stated for a trace."""
 
     outcome: tuple[StatedOutcome, ...]
 
 
 def read_outcomes(path: pathlib.Path) -> tuple[StatedOutcome, ...]:
-    """Return the outcomes stated beside a trace, none without the file.
+    """Return the outcomes in a file, or none if there is no such file.
 
-    :raises SettingsInvalid: if the file can't be read.
+    :raises SettingsInvalid: if the file can't be read or is malformed.
     """
     if not path.exists():
         return ()
@@ -60,17 +62,17 @@
 def find_differences(
     figures: Figures, stated: tuple[StatedOutcome, ...]
 ) -> list[str]:
-    """Return one line for each stated bound that does not hold."""
+    """Return a message for each stated bound that the figures violate."""
     lines = []
     for outcome in stated:
         if (outcome.policy, outcome.fault) != (figures.policy, figures.fault):
             continue
         title = f'{figures.policy}, {figures.fault}'
-        share = figures.hit_rate / figures.ideal_hit_rate
+        ratio = figures.hit_rate / figures.ideal_hit_rate
         wasted = figures.wasted_tokens / figures.prompt_tokens
-        if share < outcome.hit_rate_of_ideal:
+        if ratio < outcome.hit_rate_of_ideal:
             lines.append(
-                f'{title}: hit rate is {share:.3f} of the ideal, stated'
+                f'{title}: hit rate is {ratio:.3f} of the ideal, stated'
                 f' {outcome.hit_rate_of_ideal:g}'
             )
         if figures.first_p99 > outcome.first_p99:
--- a/src/lifttrestle/internal/replay/policies.py
+++ b/src/lifttrestle/internal/replay/policies.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""The policies that replay can compare, by name."""
+"""The policies that a replay can compare, by name."""
 
 from collections.abc import Callable
 import random
@@ -27,10 +27,11 @@
 EVENT_LAG_SECONDS = 0.5
 EVENT_LOSS = 0.02
 
-PolicyMaker = Callable[[random.Random, float], Policy]
+PolicyFactory = Callable[[random.Random, float], Policy]
 
-# Each maker takes a source of randomness and a further loss of events.
-POLICIES: dict[str, PolicyMaker] = {
+# Each factory takes a source of randomness and the fraction of cache events
+# that a fault loses.
+POLICIES: dict[str, PolicyFactory] = {
     'random': lambda source, _loss: RandomPolicy(source),
     'round-robin': lambda _source, _loss: RoundRobinPolicy(),
     'least-in-flight': lambda source, _loss: LeastInFlightPolicy(source),
--- a/src/lifttrestle/internal/replay/recorder.py
+++ b/src/lifttrestle/internal/replay/recorder.py
@@ -12,7 +12,7 @@
 
 """Records the requests that a router serves as a trace.
 
-Hashes and lengths only: no text of a prompt or answer is written.
+A trace contains hashes and lengths, but no text of prompts or answers.
 """
 
 import pathlib
@@ -27,15 +27,15 @@
 class TraceRecorder:
     """Appends one line to a file for each answered model request.
 
-    :param path: the file; it is written anew.
-    :param upstreams: how many engines the router knows.
-    :param started: the monotonic time at which the trace begins.
+    :param path: the file; an existing one is overwritten.
+    :param upstreams: number of engines in the settings of the router.
+    :param started_at: monotonic time in seconds at which the trace starts.
     """
 
     def __init__(
-        self, path: pathlib.Path, title: str, upstreams: int, started: float
+        self, path: pathlib.Path, title: str, upstreams: int, started_at: float
     ) -> None:
-        self._started = started
+        self._started_at = started_at
         self._file = path.open('wb', buffering=0)
         self._write(make_header(title, upstreams))
 
@@ -48,12 +48,16 @@
         output_tokens: int,
         priority: int,
     ) -> None:
-        """Write down a request that came at the monotonic time ``at``."""
+        """Append a request.
+
+        :param at: monotonic time in seconds at which it arrived.
+        :param output_tokens: length of the answer.
+        """
         levels = tuple(
             (level.digest.hex(), level.tokens) for level in prompt.levels
         )
         request = TraceRequest(
-            at=round(at - self._started, 6),
+            at=round(at - self._started_at, 6),
             workspace=workspace,
             model=model,
             levels=levels,
--- a/src/lifttrestle/internal/replay/request.py
+++ b/src/lifttrestle/internal/replay/request.py
@@ -10,19 +10,21 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""One request of a trace; hashes and lengths only, never text."""
+"""The lines of a trace; they contain hashes and lengths, but no text."""
 
 import msgspec
 
 
 class TraceRequest(msgspec.Struct, frozen=True):
-    """What replay needs to know of a request.
-
-    :ivar at: seconds from the start of the trace.
-    :ivar levels: a pair of hexadecimal digest and cumulative tokens for
-        each nested prefix, outermost first.
-    :ivar tokens: the length of the whole prompt.
-    :ivar output_tokens: the length of the answer.
+    """A recorded request.
+
+    :ivar at: arrival time in seconds since the start of the trace.
+    :ivar levels: the nested prefixes of the prompt, outermost first, each as
+        its hexadecimal digest and its length in tokens from the start of the
+        prompt.
+    :ivar tokens: length of the prompt.
+    :ivar output_tokens: length of the answer.
+    :ivar priority: 0 is the most urgent.
     """
 
     at: float
@@ -37,7 +39,7 @@
 class TraceHeader(msgspec.Struct, frozen=True):
     """The first line of a trace.
 
-    :ivar upstreams: how many replicas served it.
+    :ivar upstreams: number of engines that served the trace.
     """
 
     format: str
--- a/src/lifttrestle/internal/replay/runner.py
+++ b/src/lifttrestle/internal/replay/runner.py
@@ -10,10 +10,10 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Replays a trace through a policy against the model of engines.
+"""Replays a trace with a routing policy and simulated engines.
 
-Several routers decide, each with a policy of its own and its own view: its
-requests in flight, and load reports that lag.
+Requests are distributed among several routers. Each has its own instance of
+the policy and knows its own requests in flight and delayed load reports.
 """
 
 import collections
@@ -26,8 +26,8 @@
 from lifttrestle.internal.replay.event_index import EventIndexPolicy
 from lifttrestle.internal.replay.faults import ReplayFaults
 from lifttrestle.internal.replay.figures import Figures
-from lifttrestle.internal.replay.figures import pick
-from lifttrestle.internal.replay.figures import Tally
+from lifttrestle.internal.replay.figures import get_quantile
+from lifttrestle.internal.replay.figures import Totals
 from lifttrestle.internal.replay.policies import POLICIES
 from lifttrestle.internal.replay.request import TraceRequest
 from lifttrestle.internal.replay.trace import Trace
@@ -37,11 +37,11 @@
 from lifttrestle.internal.routing.prompt import Prompt
 
 ROUTERS = 6
-REPORT_SECONDS = 0.25
+REPORT_INTERVAL_SECONDS = 0.25
 
 
 class ReplayRouter:
-    """One router's policy and view."""
+    """The policy of a router and its requests in flight by engine."""
 
     def __init__(self, policy: Policy) -> None:
         self.policy = policy
@@ -49,9 +49,11 @@
 
 
 class Replay:
-    """One run of one policy over one trace.
+    """One run of a policy on a trace.
 
-    :param seed: for the policies and for which router takes a request.
+    :param policy: key of the policy in ``POLICIES``.
+    :param fault: name of the faults, for the result.
+    :param seed: for the policies and for the choice of a router.
     """
 
     def __init__(
@@ -64,7 +66,7 @@
         costs: EngineCosts,
     ) -> None:
         self._trace = trace
-        self._names = (policy, fault)
+        self._labels = (policy, fault)
         self._faults = faults
         self._costs = costs
         self._source = random.Random(seed)
@@ -83,9 +85,9 @@
         )
         self._reported: dict[str, int] = {}
         self._next_report = 0.0
-        self._ends: list[tuple[float, int, int, str]] = []
+        self._completions: list[tuple[float, int, int, str]] = []
         self._answers: list[tuple] = []
-        self._tally = Tally()
+        self._totals = Totals()
         self._crashed = False
 
     def run(self) -> Figures:
@@ -93,12 +95,15 @@
         for number, request in enumerate(self._trace.requests):
             self._advance(request.at)
             self._serve(request, number)
-        return self._summarise()
+        return self._summarize()
 
     def _advance(self, now: float) -> None:
-        """Let end what has ended, and reports arrive."""
-        while self._ends and self._ends[0][0] <= now:
-            _, _, router, name = heapq.heappop(self._ends)
+        """Process all events until ``now``.
+
+        These are completions, answers, load reports and faults.
+        """
+        while self._completions and self._completions[0][0] <= now:
+            _, _, router, name = heapq.heappop(self._completions)
             self._routers[router].in_flight[name] -= 1
         while self._answers and self._answers[0][0] <= now:
             at, _, router, prompt, candidate, cached = heapq.heappop(
@@ -111,9 +116,9 @@
                 engine.name: engine.count_load(self._next_report)
                 for engine in self._engines
             }
-            due = self._next_report + self._faults.report_lag
-            self._reports.append((due, loads))
-            self._next_report += REPORT_SECONDS
+            due_at = self._next_report + self._faults.report_lag
+            self._reports.append((due_at, loads))
+            self._next_report += REPORT_INTERVAL_SECONDS
         while self._reports and self._reports[0][0] <= now:
             self._reported = self._reports.popleft()[1]
         if 0 <= self._faults.crash_at <= now and not self._crashed:
@@ -125,32 +130,41 @@
         router = self._routers[index]
         prompt = make_prompt(request)
         candidates = [
-            self._describe(engine, router) for engine in self._engines
+            self._make_candidate(engine, router) for engine in self._engines
         ]
         choice = router.policy.choose(prompt, list(candidates), request.at)
         position = next(
-            spot
-            for spot, item in enumerate(candidates)
+            position
+            for position, item in enumerate(candidates)
             if item.name == choice.name
         )
         engine = self._engines[position]
-        held = max(item.cache.count_cached(request) for item in self._engines)
-        served = engine.serve(request, request.at)
-        self._publish(request, engine)
-        self._count(request, served.first, served.cached, held)
+        most_cached = max(
+            item.cache.count_cached(request) for item in self._engines
+        )
+        result = engine.serve(request, request.at)
+        self._publish_events(request, engine)
+        self._record(
+            request, result.first_token_at, result.cached_tokens, most_cached
+        )
         router.in_flight[engine.name] += 1
-        heapq.heappush(self._ends, (served.last, number, index, engine.name))
+        heapq.heappush(
+            self._completions,
+            (result.last_token_at, number, index, engine.name),
+        )
         answer = (
-            served.first,
+            result.first_token_at,
             number,
             index,
             prompt,
             candidates[position],
-            served.cached,
+            result.cached_tokens,
         )
         heapq.heappush(self._answers, answer)
 
-    def _publish(self, request: TraceRequest, engine: ReplayEngine) -> None:
+    def _publish_events(
+        self, request: TraceRequest, engine: ReplayEngine
+    ) -> None:
         policies = [item.policy for item in self._routers]
         if not isinstance(policies[0], EventIndexPolicy):
             return
@@ -161,18 +175,22 @@
                     request.at, engine.name, bytes.fromhex(digest), True
                 )
 
-    def _count(
-        self, request: TraceRequest, first: float, cached: int, held: int
+    def _record(
+        self,
+        request: TraceRequest,
+        first_token_at: float,
+        cached: int,
+        most_cached: int,
     ) -> None:
-        tally = self._tally
-        tally.firsts.append(first - request.at)
-        tally.prompt_tokens += request.tokens
-        tally.cached_tokens += cached
-        tally.ideal_tokens += self._ideal.count_cached(request)
+        totals = self._totals
+        totals.first_token_seconds.append(first_token_at - request.at)
+        totals.prompt_tokens += request.tokens
+        totals.cached_tokens += cached
+        totals.ideal_tokens += self._ideal.count_cached(request)
         self._ideal.admit(request)
-        tally.wasted_tokens += max(held - cached, 0)
+        totals.wasted_tokens += max(most_cached - cached, 0)
 
-    def _describe(
+    def _make_candidate(
         self, engine: ReplayEngine, router: ReplayRouter
     ) -> Candidate:
         return Candidate(
@@ -184,27 +202,27 @@
             reported=self._reported.get(engine.name, 0),
         )
 
-    def _summarise(self) -> Figures:
-        tally = self._tally
-        firsts = sorted(tally.firsts)
+    def _summarize(self) -> Figures:
+        totals = self._totals
+        firsts = sorted(totals.first_token_seconds)
         counts = [engine.served for engine in self._engines]
         return Figures(
-            policy=self._names[0],
-            fault=self._names[1],
+            policy=self._labels[0],
+            fault=self._labels[1],
             requests=len(firsts),
-            prompt_tokens=tally.prompt_tokens,
-            hit_rate=tally.cached_tokens / tally.prompt_tokens,
-            ideal_hit_rate=tally.ideal_tokens / tally.prompt_tokens,
-            first_p50=pick(firsts, 0.5),
-            first_p99=pick(firsts, 0.99),
-            first_p999=pick(firsts, 0.999),
-            wasted_tokens=tally.wasted_tokens,
+            prompt_tokens=totals.prompt_tokens,
+            hit_rate=totals.cached_tokens / totals.prompt_tokens,
+            ideal_hit_rate=totals.ideal_tokens / totals.prompt_tokens,
+            first_p50=get_quantile(firsts, 0.5),
+            first_p99=get_quantile(firsts, 0.99),
+            first_p999=get_quantile(firsts, 0.999),
+            wasted_tokens=totals.wasted_tokens,
             spread=max(counts) * len(counts) / sum(counts),
         )
 
 
 def make_prompt(request: TraceRequest) -> Prompt:
-    """Return a trace's request as a policy sees it."""
+    """Return the prompt of a recorded request."""
     levels = tuple(
         PrefixLevel(bytes.fromhex(digest), tokens)
         for digest, tokens in request.levels
--- a/src/lifttrestle/internal/replay/scenario.py
+++ b/src/lifttrestle/internal/replay/scenario.py
@@ -10,34 +10,41 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""The numbers of a generated trace."""
+"""Parameters of generated traces."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True)
 class Scenario:
-    """A day's hour at one deployment, in numbers.
+    """Load of one deployment.
 
-    Lengths are in tokens and times in seconds. Workspaces get weights that
-    fall like 1/rank, so that a few are large.
+    A prompt consists of instructions, which all requests of a workspace
+    share, a document such as a puzzle or an inventory sheet, and a question.
+    The share of a workspace is proportional to 1/rank, so that a few
+    workspaces send most requests. All times are in seconds.
 
-    :ivar sheets: puzzles or inventory sheets in use by each workspace.
-    :ivar hot_share: the part of all requests that go to one hot sheet.
-    :ivar hot_shifts: times at which another sheet becomes the hot one.
-    :ivar burst_at: when a burst begins, or a negative time for none.
-    :ivar urgent_share: the part of the burst that is of priority 0.
+    :ivar requests_per_second: mean request rate outside of bursts.
+    :ivar question_tokens: mean length of a question.
+    :ivar output_tokens: mean length of an answer.
+    :ivar documents: number of documents in use by each workspace.
+    :ivar hot_share: fraction of all requests that refer to one hot document
+        of the first workspace.
+    :ivar hot_shifts: times at which another document becomes the hot one.
+    :ivar burst_at: start time of a burst, or a negative number for none.
+    :ivar burst_factor: request rate during a burst, relative to the mean.
+    :ivar urgent_share: fraction of the burst that has priority 0.
     """
 
     title: str
     upstreams: int
-    rate: float
-    seconds: float
-    instructions: int
-    sheet: int
-    question: int
-    output: int
-    sheets: int
+    requests_per_second: float
+    duration_seconds: float
+    instruction_tokens: int
+    document_tokens: int
+    question_tokens: int
+    output_tokens: int
+    documents: int
     workspaces: int = 8
     hot_share: float = 0.0
     hot_shifts: tuple[float, ...] = ()
@@ -51,13 +58,13 @@
     'bangkok-morning': Scenario(
         title='Bangkok, the morning peak of the crosswords',
         upstreams=5,
-        rate=30.0,
-        seconds=120.0,
-        instructions=1200,
-        sheet=2400,
-        question=80,
-        output=60,
-        sheets=6,
+        requests_per_second=30.0,
+        duration_seconds=120.0,
+        instruction_tokens=1200,
+        document_tokens=2400,
+        question_tokens=80,
+        output_tokens=60,
+        documents=6,
         burst_at=40.0,
         burst_seconds=40.0,
         burst_factor=1.6,
@@ -65,37 +72,37 @@
     'bangkok-contest': Scenario(
         title='Bangkok, Contest Sunday with a hot grid that shifts',
         upstreams=5,
-        rate=36.0,
-        seconds=120.0,
-        instructions=1200,
-        sheet=2400,
-        question=80,
-        output=60,
-        sheets=4,
+        requests_per_second=36.0,
+        duration_seconds=120.0,
+        instruction_tokens=1200,
+        document_tokens=2400,
+        question_tokens=80,
+        output_tokens=60,
+        documents=4,
         hot_share=0.5,
         hot_shifts=(40.0, 80.0),
     ),
     'sofia-workbench': Scenario(
         title='Sofia, restorers rereading long inventory sheets',
         upstreams=5,
-        rate=8.0,
-        seconds=240.0,
-        instructions=900,
-        sheet=9000,
-        question=150,
-        output=120,
-        sheets=3,
+        requests_per_second=8.0,
+        duration_seconds=240.0,
+        instruction_tokens=900,
+        document_tokens=9000,
+        question_tokens=150,
+        output_tokens=120,
+        documents=3,
     ),
     'sofia-fire': Scenario(
         title='Sofia, a fire warning that displaces festival traffic',
         upstreams=5,
-        rate=8.0,
-        seconds=240.0,
-        instructions=900,
-        sheet=9000,
-        question=150,
-        output=120,
-        sheets=3,
+        requests_per_second=8.0,
+        duration_seconds=240.0,
+        instruction_tokens=900,
+        document_tokens=9000,
+        question_tokens=150,
+        output_tokens=120,
+        documents=3,
         burst_at=100.0,
         burst_seconds=30.0,
         burst_factor=3.0,
--- a/src/lifttrestle/internal/replay/trace.py
+++ b/src/lifttrestle/internal/replay/trace.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Reads and writes traces: JSON lines, a header and then the requests."""
+"""Reads and writes traces as JSON lines: a header, then one request each."""
 
 import dataclasses
 import pathlib
@@ -27,21 +27,22 @@
 
 @dataclasses.dataclass(frozen=True)
 class Trace:
-    """A header and its requests in the order of their times."""
+    """A header and the requests in order of their arrival times."""
 
     header: TraceHeader
     requests: list[TraceRequest]
 
 
 def make_header(title: str, upstreams: int) -> TraceHeader:
-    """Return the header of a trace in this version of the format."""
+    """Return a header with the current format version."""
     return TraceHeader(FORMAT, VERSION, title, upstreams)
 
 
 def read_trace(path: pathlib.Path) -> Trace:
-    """Return the trace in a file.
+    """Read a trace from a file.
 
-    :raises SettingsInvalid: naming the line that can't be read.
+    :raises SettingsInvalid: if a line is malformed or the format is not
+        supported; the message contains the line number.
     """
     lines = path.read_bytes().splitlines()
     number = 1
@@ -63,6 +64,6 @@
 
 
 def write_trace(path: pathlib.Path, trace: Trace) -> None:
-    """Write a trace."""
+    """Write a trace to a file."""
     lines = [trace.header, *trace.requests]
     path.write_bytes(b'\n'.join(map(msgspec.json.encode, lines)) + b'\n')
