--- a/tests/cover/test_replay.py
+++ b/tests/cover/test_replay.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Recorded traces replayed against their stated outcomes."""
+"""Replays recorded traces and checks their stated outcomes."""
 
 import contextlib
 import io
@@ -34,7 +34,7 @@
 
 
 class TestReplay(unittest.TestCase):
-    def run_quietly(self, *arguments: str) -> tuple[int, str]:
+    def run_command(self, *arguments: str) -> tuple[int, str]:
         output = io.StringIO()
         with contextlib.redirect_stdout(output):
             with contextlib.redirect_stderr(output):
@@ -44,15 +44,15 @@
     def test_every_stated_outcome_holds(self) -> None:
         for name in SCENARIOS:
             path = TRACES / f'{name}.jsonl'
-            code, output = self.run_quietly(
+            code, output = self.run_command(
                 'replay', str(path), '--fault', ','.join(FAULTS)
             )
             self.assertEqual(code, 0, output)
             stated = read_outcomes(path.with_suffix('.outcome.toml'))
             self.assertEqual({item.fault for item in stated}, set(FAULTS))
 
-    def test_a_worse_policy_differs(self) -> None:
-        # The bounds can fail: the first policy does not keep them.
+    def test_worse_policy_violates_stated_outcomes(self) -> None:
+        # Guards against loose bounds: the nested-1 policy must violate them.
         for name in SCENARIOS:
             path = TRACES / f'{name}.jsonl'
             trace = read_trace(path)
@@ -60,7 +60,7 @@
             figures = Replay(
                 trace, 'nested-1', 'healthy', faults, 1, EngineCosts()
             ).run()
-            claimed = type(figures)(
+            relabelled = type(figures)(
                 **{
                     **{
                         field: getattr(figures, field)
@@ -70,9 +70,9 @@
                 }
             )
             stated = read_outcomes(path.with_suffix('.outcome.toml'))
-            self.assertTrue(find_differences(claimed, stated), name)
+            self.assertTrue(find_differences(relabelled, stated), name)
 
-    def test_beats_least_in_flight_on_wasted_tokens(self) -> None:
+    def test_nested_wastes_fewer_tokens_than_least_in_flight(self) -> None:
         for name in SCENARIOS:
             trace = read_trace(TRACES / f'{name}.jsonl')
             wasted = {}
@@ -99,7 +99,7 @@
                 self.assertGreater(value, best * 0.95, (name, good))
                 best = max(best, value)
 
-    def test_refused_late_and_good_are_all_requests(self) -> None:
+    def test_each_request_is_good_late_or_refused(self) -> None:
         trace = read_trace(TRACES / 'sofia-fire.jsonl')
         figures = GoodputReplay(trace, 4.0, 8, 64, 1, EngineCosts()).run()
         seconds = trace.requests[-1].at / 4.0
@@ -116,20 +116,20 @@
         ]
         self.assertEqual(*runs)
 
-    def test_trace_survives_a_file(self) -> None:
+    def test_trace_is_unchanged_after_writing_and_reading(self) -> None:
         trace = generate_trace(SCENARIOS['sofia-fire'], 2)
         with tempfile.TemporaryDirectory() as folder:
             path = pathlib.Path(folder) / 'trace.jsonl'
             write_trace(path, trace)
             self.assertEqual(read_trace(path), trace)
             path.write_text('{"format": "other"}\n')
-            code, output = self.run_quietly('replay', str(path))
+            code, output = self.run_command('replay', str(path))
         self.assertEqual(code, 2)
         self.assertIn('trace.jsonl:1', output)
 
-    def test_unknown_names_are_told(self) -> None:
+    def test_unknown_policy_is_rejected(self) -> None:
         path = TRACES / 'sofia-fire.jsonl'
-        code, output = self.run_quietly(
+        code, output = self.run_command(
             'replay', str(path), '--policy', 'best'
         )
         self.assertEqual(code, 2)
