--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -10,10 +10,11 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Slopes for docs/CAPACITY.md, from at least four sizes each.
+"""Measures how costs grow with size, for docs/CAPACITY.md.
 
-Every figure is the slope and intercept of a least-squares line with its
-largest residual, so that the page can say how far it may be carried.
+Each cost is measured for at least four sizes. The result is the slope and
+intercept of a least-squares line; its largest residual shows how far the line
+may be extrapolated.
 """
 
 import argparse
@@ -53,16 +54,16 @@
 UPSTREAMS = (5, 50, 200, 600)
 WORKSPACES = (8, 400, 1500, 4300)
 ROUTERS = (8, 16, 32, 64)
-CONTROL_SECONDS = 10.0
-TICKS_A_SECOND = 100
+IDLE_SECONDS = 10.0
+TICKS_PER_SECOND = 100
 MICROSECONDS = 1e6
-TABLE_SECONDS = 0.005
+TRANSACTION_SECONDS = 0.005
 
 
 def report_line(title: str, sizes: list[float], values: list[float]) -> None:
     """Print the least-squares line through the measured points."""
     slope, intercept = statistics.linear_regression(sizes, values)
-    worst = max(
+    largest_residual = max(
         abs(value - slope * size - intercept)
         for size, value in zip(sizes, values)
     )
@@ -72,12 +73,12 @@
     print(f'{title}: {points}')
     print(
         f'    slope {slope:.4g}, intercept {intercept:.4g},'
-        f' largest residual {worst:.3g}'
+        f' largest residual {largest_residual:.3g}'
     )
 
 
 def measure_decisions() -> None:
-    """Time one routing decision against the number of upstreams."""
+    """Measure the time of a routing decision by the number of upstreams."""
     times = []
     for count in UPSTREAMS:
         policy = NestedPolicy(random.Random(1))
@@ -91,18 +92,18 @@
         ]
         for prompt in prompts[:200]:
             policy.choose(prompt, candidates, 0.0)
-        started = time.perf_counter()
+        started_at = time.perf_counter()
         for prompt in prompts:
             policy.choose(prompt, candidates, 0.0)
-        seconds = time.perf_counter() - started
+        seconds = time.perf_counter() - started_at
         times.append(seconds / DECISIONS * MICROSECONDS)
-    report_line('microseconds a decision, by upstreams', UPSTREAMS, times)
+    report_line('microseconds per decision, by upstreams', UPSTREAMS, times)
 
 
 def measure_evidence() -> None:
-    """Count the bytes that evidence takes for each remembered prefix."""
+    """Measure the memory of cache evidence by the number of prefixes."""
     sizes = (1000, 2000, 4000, 8000)
-    grown = []
+    allocated = []
     for size in sizes:
         policy = NestedPolicy(random.Random(1))
         candidate = Candidate('engine-1', 'one', 32, 8000.0)
@@ -110,13 +111,13 @@
         for number in range(size):
             prompt = derive_prompt('salt', [f'tenant {number}', 'q'])
             policy.observe(prompt, candidate, 0, 0.0)
-        grown.append(tracemalloc.get_traced_memory()[0])
+        allocated.append(tracemalloc.get_traced_memory()[0])
         tracemalloc.stop()
-    report_line('bytes of evidence, by prefixes', sizes, grown)
+    report_line('bytes of cache evidence, by prefixes', sizes, allocated)
 
 
 def make_changes(count: int) -> tuple[Change, ...]:
-    """Return changes that set so many workspaces."""
+    """Return changes that set one model and ``count`` workspaces."""
     changes = [
         Change(
             ItemKind.MODEL, 'm', {'name': 'm', 'version': '1', 'group': 'g'}
@@ -135,7 +136,11 @@
 
 
 def measure_configuration() -> None:
-    """Measure memory, bytes and time against the number of workspaces."""
+    """Measure configuration costs by the number of workspaces.
+
+    These are memory, encoded size, and the time to apply a change and to
+    combine a proposal.
+    """
     memory, encoded, applied, combined = [], [], [], []
     for count in WORKSPACES:
         changes = make_changes(count)
@@ -146,18 +151,26 @@
         tracemalloc.stop()
         encoded.append(len(msgspec.msgpack.encode(document.list_changes())))
         one = (changes[1],)
-        started = time.perf_counter()
+        started_at = time.perf_counter()
         for _ in range(20):
             document.apply(one)
-        applied.append((time.perf_counter() - started) / 20 * 1000)
-        started = time.perf_counter()
+        applied.append((time.perf_counter() - started_at) / 20 * 1000)
+        started_at = time.perf_counter()
         for _ in range(20):
             combine_documents(document, one)
-        combined.append((time.perf_counter() - started) / 20 * 1000)
+        combined.append((time.perf_counter() - started_at) / 20 * 1000)
     report_line('bytes in memory, by workspaces', WORKSPACES, memory)
-    report_line('bytes of a whole document', WORKSPACES, encoded)
-    report_line('milliseconds to apply one change', WORKSPACES, applied)
-    report_line('milliseconds to combine one proposal', WORKSPACES, combined)
+    report_line(
+        'bytes of a complete document, by workspaces', WORKSPACES, encoded
+    )
+    report_line(
+        'milliseconds to apply one change, by workspaces', WORKSPACES, applied
+    )
+    report_line(
+        'milliseconds to combine one proposal, by workspaces',
+        WORKSPACES,
+        combined,
+    )
     change = AcceptedChange(1, '0' * 16, make_changes(1)[1:])
     print(
         f'bytes of one accepted change: {len(msgspec.msgpack.encode(change))}'
@@ -165,7 +178,7 @@
 
 
 def measure_messages() -> None:
-    """Count the bytes of what routers and the table say to each other."""
+    """Measure the size of membership messages and of the table row."""
     member = Member('0' * 32, 'router-1', 'vm-router-1', 'north', '1.2.3.4:5')
     greeting = Greeting(member, 1000, '', True)
     reply = Reply(member, 1000, True)
@@ -179,50 +192,56 @@
 
 
 class SlowTable(MemoryTable):
-    """A table that takes a few milliseconds over each transaction."""
+    """A table with a delay of ``TRANSACTION_SECONDS`` per transaction.
+
+    :ivar transactions: number of transactions so far.
+    """
 
     transactions = 0
 
     async def transact(self, transaction: Transaction) -> int:
-        """Apply the writes after a moment."""
+        """Apply the writes after the delay."""
         self.transactions += 1
-        await asyncio.sleep(TABLE_SECONDS)
+        await asyncio.sleep(TRANSACTION_SECONDS)
         return await super().transact(transaction)
 
 
 async def count_transactions(rate: int) -> float:
-    """Return transactions a second for so many claims a second."""
+    """Return transactions per second at ``rate`` claims per second."""
     table = SlowTable()
     committer = GroupCommitter(table)
     value = msgspec.Raw(b'{}')
     tasks = []
-    started = time.perf_counter()
+    started_at = time.perf_counter()
     for number in range(rate):
         key = f'run/{number}'
         work = committer.commit(Check(key, ABSENT), Write(key, value))
         tasks.append(asyncio.create_task(work))
-        behind = number / rate - (time.perf_counter() - started)
-        await asyncio.sleep(max(behind, 0))
+        delay = number / rate - (time.perf_counter() - started_at)
+        await asyncio.sleep(max(delay, 0))
     await asyncio.gather(*tasks)
-    return table.transactions / (time.perf_counter() - started)
+    return table.transactions / (time.perf_counter() - started_at)
 
 
 def measure_claims() -> None:
-    """Count transactions against claims, at one router."""
+    """Measure the rate of transactions at one router by that of claims."""
     sizes = (50, 200, 500, 1000)
     rates = [asyncio.run(count_transactions(size)) for size in sizes]
     report_line('transactions/s at one router, by claims/s', sizes, rates)
 
 
 def read_cpu_ticks(pid: int) -> int:
-    """Return the processor time of a process in clock ticks."""
+    """Return the CPU time of a process in clock ticks."""
     fields = pathlib.Path(f'/proc/{pid}/stat').read_text().rpartition(')')[2]
     user, system = fields.split()[11:13]
     return int(user) + int(system)
 
 
-def measure_control(sizes: tuple[int, ...]) -> None:
-    """Measure idle routers: processor, memory, calls to the table."""
+def measure_idle_routers(sizes: tuple[int, ...]) -> None:
+    """Measure CPU use, memory and table reads of idle routers.
+
+    :param sizes: numbers of routers.
+    """
     cpu, memory, reads = [], [], []
     control = (
         'control = { table_poll_seconds = 1.0, vms_poll_seconds = 1.0,'
@@ -236,43 +255,44 @@
             deployment.configure_usual()
             pids = [item.process.pid for item in deployment.routers.values()]
             time.sleep(3.0)
-            before = [read_cpu_ticks(pid) for pid in pids]
+            start_ticks = [read_cpu_ticks(pid) for pid in pids]
             counts = count_reads(deployment)
-            time.sleep(CONTROL_SECONDS)
-            spent = [
-                read_cpu_ticks(pid) - start for pid, start in zip(pids, before)
+            time.sleep(IDLE_SECONDS)
+            used = [
+                read_cpu_ticks(pid) - start
+                for pid, start in zip(pids, start_ticks)
             ]
-            seconds = CONTROL_SECONDS * TICKS_A_SECOND
-            cpu.append(statistics.mean(spent) / seconds * 100)
+            seconds = IDLE_SECONDS * TICKS_PER_SECOND
+            cpu.append(statistics.mean(used) / seconds * 100)
             memory.append(
                 statistics.mean(read_rss_kib(pid) for pid in pids) / 1024
             )
-            reads.append((count_reads(deployment) - counts) / CONTROL_SECONDS)
-    report_line('% of a core for control a router, by routers', sizes, cpu)
-    report_line('MiB resident a router, by routers', sizes, memory)
-    report_line('table reads/s of all routers', sizes, reads)
+            reads.append((count_reads(deployment) - counts) / IDLE_SECONDS)
+    report_line('% of a core per idle router, by routers', sizes, cpu)
+    report_line('MiB resident per idle router, by routers', sizes, memory)
+    report_line('table reads/s of all idle routers, by routers', sizes, reads)
 
 
 def count_reads(deployment: Deployment) -> int:
-    """Return how many reads the table has served."""
+    """Return the number of reads that the table has served."""
     reply = request(deployment.addresses['table'], 'GET', '/standin/counts')
     return reply.json()['read']
 
 
 def main() -> None:
-    """Measure the parts named, or all."""
-    parts = {
+    """Run the measurements named on the command line, or all."""
+    measurements = {
         'decisions': measure_decisions,
         'evidence': measure_evidence,
         'configuration': measure_configuration,
         'messages': measure_messages,
         'claims': measure_claims,
-        'control': lambda: measure_control(ROUTERS),
+        'control': lambda: measure_idle_routers(ROUTERS),
     }
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument('part', nargs='*', choices=[[], *parts])
-    for name in parser.parse_args().part or parts:
-        parts[name]()
+    parser.add_argument('part', nargs='*', choices=[[], *measurements])
+    for name in parser.parse_args().part or measurements:
+        measurements[name]()
 
 
 if __name__ == '__main__':
--- a/benchmarks/crashes.py
+++ b/benchmarks/crashes.py
@@ -10,11 +10,12 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""What the memory of crashes costs: ``python -m benchmarks.crashes``.
+"""Measures the cost of crash tracking: ``python -m benchmarks.crashes``.
 
-Prints microseconds a digest by the size of the body, and what a crashed engine
-costs a fleet in messages and bytes, and a router in microseconds a message, by
-the number of routers.
+Prints the microseconds per request digest, by the size of the body. Then
+prints, by the number of routers, the messages and bytes that all routers send
+for a crashed engine and for a held request, and the microseconds that a router
+needs per received message.
 """
 
 import time
@@ -33,47 +34,51 @@
 ROUTERS = (7, 82, 195)
 ROUNDS = 300
 DIGEST = 0xCAE714BDFB5AE264
-# Requests that a crashed engine had under way, each of another router.
-UNDER_WAY = 20
+# Requests in progress at the crashed engine; they belong to different routers
+# if there are enough.
+REQUESTS_IN_PROGRESS = 20
 MICROSECONDS = 1e6
 
 
 def time_digest(size: int) -> float:
-    """Return the microseconds that a digest takes."""
+    """Return the microseconds per digest of a request.
+
+    :param size: length of the body in bytes.
+    """
     workspace = Workspace('acme', None, False)
     admitted = AdmittedRequest(None, None, workspace)  # type: ignore[arg-type]
     head = RequestHead('POST', '/lepu270/2f')
     body = bytes(size)
-    began = time.perf_counter()
+    started_at = time.perf_counter()
     for _ in range(ROUNDS):
         build_request_digest(admitted, 'jepu9.example', head, body)
-    return (time.perf_counter() - began) / ROUNDS * MICROSECONDS
+    return (time.perf_counter() - started_at) / ROUNDS * MICROSECONDS
 
 
-def time_news(routers: int) -> float:
-    """Return the microseconds that a router takes to hear of one request."""
-    memory = CrashFleet(routers).trackers[0]
+def time_update(routers: int) -> float:
+    """Return the microseconds that a router needs per received update."""
+    tracker = CrashFleet(routers).trackers[0]
     data = [
         encode_message(CrashUpdate('r1', [CrashItem(DIGEST + number, [1, 2])]))
         for number in range(ROUNDS)
     ]
-    began = time.perf_counter()
+    started_at = time.perf_counter()
     for item in data:
-        memory.handle_update(decode_message(item))  # type: ignore[arg-type]
-    return (time.perf_counter() - began) / ROUNDS * MICROSECONDS
+        tracker.handle_update(decode_message(item))  # type: ignore[arg-type]
+    return (time.perf_counter() - started_at) / ROUNDS * MICROSECONDS
 
 
 def count_crash(routers: int) -> tuple[int, int]:
-    """Return messages and bytes of all routers for one crashed engine."""
+    """Return the messages and bytes that all routers send for one crash."""
     fleet = CrashFleet(routers)
-    for number in range(UNDER_WAY):
+    for number in range(REQUESTS_IN_PROGRESS):
         fleet.crash(number % routers, 0, [DIGEST + number])
     fleet.send_updates()
     return fleet.messages, fleet.bytes
 
 
-def count_verdict(routers: int) -> tuple[int, int]:
-    """Return messages and bytes until all know of a dangerous request."""
+def count_hold(routers: int) -> tuple[int, int]:
+    """Return the messages and bytes until all routers hold a request."""
     fleet = CrashFleet(routers)
     for number in range(3):
         fleet.crash(number, number, [DIGEST])
@@ -83,16 +88,16 @@
 
 def main() -> None:
     """Print the tables."""
-    print('bytes of body  us a digest')
+    print('bytes of body  us per digest')
     for size in BODIES:
-        print(f'{size:13,}  {time_digest(size):11.1f}')
-    print('routers  a crashed engine    a dangerous request  us a message')
+        print(f'{size:13,}  {time_digest(size):13.1f}')
+    print('routers  per crashed engine   per held request  us per message')
     for routers in ROUTERS:
         crash = count_crash(routers)
-        verdict = count_verdict(routers)
+        hold = count_hold(routers)
         print(
-            f'{routers:7}  {crash[0]:5} {crash[1]:8,} B  {verdict[0]:7}'
-            f' {verdict[1]:9,} B  {time_news(routers):12.0f}'
+            f'{routers:7}  {crash[0]:7} {crash[1]:9,} B  {hold[0]:5}'
+            f' {hold[1]:9,} B  {time_update(routers):14.0f}'
         )
 
 
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -10,11 +10,11 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Processor time of what a fleet's router does most, without any I/O.
+"""Measures the CPU time of the most frequent operations of a router.
 
-Prints two tables: microseconds a choice of an engine and a report of loads
-that is heard, by the number of engines; and a question for the sum of loads
-that is answered, by the number of routers that ask one.
+There is no I/O. Prints two tables with microseconds of CPU time: choosing an
+engine and handling a load report, by the number of engines; and answering a
+query for the sum of loads, by the number of routers that query an aggregator.
 """
 
 import datetime
@@ -48,17 +48,17 @@
 ENGINES = (5, 60, 200, 600)
 ROUTERS = 200
 ROUNDS = 300
-# Engines at which one router has requests under way at the same time.
+# Engines at which one router has requests in progress at the same time.
 BUSY_ENGINES = 3
-# Routers that ask the same one for the sum.
-ASKING = (5, 33, 87)
+# Numbers of routers that query the same aggregator.
+QUERYING_ROUTERS = (5, 33, 87)
 GROUPS = 5
 SUMMED_ENGINES = 60
 MICROSECONDS = 1e6
 
 
 class Router:
-    """What one router knows of some engines."""
+    """The state of a router that knows a number of engines."""
 
     def __init__(self, engines: int) -> None:
         self.clock = ManualClock(START)
@@ -83,7 +83,7 @@
         self.source = random.Random(1)
 
     def choose(self, number: int) -> None:
-        """Choose an engine for a prompt of two shared parts and its own."""
+        """Choose an engine for a prompt with a shared and a unique part."""
         parts = (PromptPart('aa', 2520), PromptPart(f'{number:x}', 3780))
         generation = Generation('m', 9190, 10, parts)
         choose_engine(
@@ -95,8 +95,8 @@
             self.source,
         )
 
-    def hear(self, number: int) -> None:
-        """Hear a report of another router."""
+    def handle_report(self, number: int) -> None:
+        """Handle a load report of another router."""
         digests = [item.digest for item in self.directory]
         loads = [
             UpstreamLoad(digest, 1, 900)
@@ -109,53 +109,53 @@
 
 
 class Aggregator:
-    """A router that some others ask."""
+    """A router that answers queries of others for the sum of loads."""
 
-    def __init__(self, asking: int) -> None:
+    def __init__(self, routers: int) -> None:
         source = random.Random(1)
         digests = [source.getrandbits(63) for _ in range(SUMMED_ENGINES)]
         self.aggregator = LoadAggregator('me', lambda: 1.0)
-        self.questions = []
-        for number in range(asking):
+        self.queries = []
+        for number in range(routers):
             loads = [
                 UpstreamLoad(digest, 1, 900)
                 for digest in source.sample(digests, BUSY_ENGINES)
             ]
             report = LoadReport(f'r{number}', 1, loads, [], True, True)
-            self.questions.append(encode_message(report))
+            self.queries.append(encode_message(report))
         loads = [UpstreamLoad(digest, 3, 2700) for digest in digests]
         for number in range(GROUPS):
             self.aggregator.handle_group_sum(
                 GroupSum(f'g{number}', 1, loads), 0.0
             )
 
-    def answer(self, number: int) -> None:
-        """Answer a question of one of them."""
-        report = decode_message(self.questions[number % len(self.questions)])
+    def answer_query(self, number: int) -> None:
+        """Answer a query of one of the routers."""
+        report = decode_message(self.queries[number % len(self.queries)])
         self.aggregator.handle_report(report, 0.0)
         encode_message(self.aggregator.build_fleet_sum(report.vm, 0.0))
 
 
-def measure(act: object, rounds: int = ROUNDS) -> float:
-    """Return the processor time of one call, in microseconds."""
-    began = time.process_time()
+def measure(action: object, rounds: int = ROUNDS) -> float:
+    """Return the CPU time of one call in microseconds."""
+    started_at = time.process_time()
     for number in range(rounds):
-        act(number)  # type: ignore[operator]
-    return (time.process_time() - began) / rounds * MICROSECONDS
+        action(number)  # type: ignore[operator]
+    return (time.process_time() - started_at) / rounds * MICROSECONDS
 
 
 def main() -> None:
-    """Print the table."""
-    print(f'{"engines":>8} {"choice, us":>12} {"report heard, us":>18}')
+    """Print the tables."""
+    print(f'{"engines":>8} {"choice, us":>12} {"load report, us":>18}')
     for engines in ENGINES:
         router = Router(engines)
         chosen = measure(router.choose)
-        heard = measure(router.hear, ROUNDS * 10)
-        print(f'{engines:>8} {chosen:>12.0f} {heard:>18.0f}')
-    print(f'{"asking":>8} {"answer, us":>12}')
-    for asking in ASKING:
-        answered = measure(Aggregator(asking).answer, ROUNDS * 10)
-        print(f'{asking:>8} {answered:>12.0f}')
+        handled = measure(router.handle_report, ROUNDS * 10)
+        print(f'{engines:>8} {chosen:>12.0f} {handled:>18.0f}')
+    print(f'{"routers":>8} {"answer, us":>12}')
+    for routers in QUERYING_ROUTERS:
+        answered = measure(Aggregator(routers).answer_query, ROUNDS * 10)
+        print(f'{routers:>8} {answered:>12.0f}')
 
 
 if __name__ == '__main__':
--- a/benchmarks/latency.py
+++ b/benchmarks/latency.py
@@ -10,11 +10,11 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""What a router adds to an answer, against asking the stand-in directly.
+"""Measures the latency that a router adds to direct requests to an engine.
 
-Both paths are measured in one run, in turn, with the same requests; the
-figures to quote are the differences. Also: the streaming throughput with many
-concurrent streams, and the memory of an idle router.
+Both paths are measured alternately in one run with the same requests; the
+differences are the figures to quote. Also measures the throughput of many
+concurrent streams and the memory of an idle router.
 """
 
 import argparse
@@ -38,22 +38,31 @@
 STREAM_TOKENS = 100
 DECODE_SECONDS = '0.02'
 MILLISECONDS = 1000
-PERCENT_99 = 98
+P99_INDEX = 98
 
 
 @dataclasses.dataclass
 class Sample:
-    """One answer: seconds to its first byte, to its end, and its bytes."""
+    """Measurements of one answer.
 
-    first: float
-    whole: float
+    :ivar first_byte: seconds to its first byte.
+    :ivar complete: seconds to its last byte.
+    :ivar events: number of its server-sent events.
+    """
+
+    first_byte: float
+    complete: float
     events: int
 
 
-async def ask(
+async def request_completion(
     pool: ClientPool, number: int, tokens: int, stream: bool
 ) -> Sample:
-    """Send one request and time its answer."""
+    """Send a request and measure its answer.
+
+    :param number: makes the prompt unique.
+    :param tokens: length of the answer.
+    """
     content = {
         'model': MODEL,
         'prompt': f'a shared prefix of some words {number}',
@@ -66,57 +75,61 @@
         ('content-type', 'application/json'),
     )
     head = RequestHead('POST', '/v1/completions', headers)
-    started = time.perf_counter()
+    started_at = time.perf_counter()
     connection = await pool.take()
     await connection.send_request(head, msgspec.json.encode(content))
     answer = await connection.read_head()
     assert answer.status == 200, answer
-    first = 0.0
+    first_byte = 0.0
     events = 0
     async for part in connection.iterate_body():
-        first = first or time.perf_counter() - started
+        first_byte = first_byte or time.perf_counter() - started_at
         events += part.count(b'\n\n')
     pool.give_back(connection)
-    return Sample(first, time.perf_counter() - started, events)
+    return Sample(first_byte, time.perf_counter() - started_at, events)
 
 
-async def measure_whole(direct: ClientPool, routed: ClientPool) -> None:
-    """Time short whole answers on both paths in turn, one at a time."""
+async def measure_sequential(direct: ClientPool, routed: ClientPool) -> None:
+    """Measure short answers on both paths alternately, one at a time."""
     paths = {'direct': direct, 'routed': routed}
     times: dict[str, list[float]] = {name: [] for name in paths}
     for number in range(ROUNDS):
         for name, pool in paths.items():
-            sample = await ask(pool, number, 1, False)
-            times[name].append(sample.whole * MILLISECONDS)
-    report('one at a time, whole answer', times)
+            sample = await request_completion(pool, number, 1, False)
+            times[name].append(sample.complete * MILLISECONDS)
+    print_percentiles('one at a time, complete answer', times)
 
 
 async def measure_streams(direct: ClientPool, routed: ClientPool) -> None:
-    """Time the first byte of many concurrent streams on both paths."""
+    """Measure throughput and first byte of concurrent streams on each path."""
     for title, pool in (('direct', direct), ('routed', routed)):
-        started = time.perf_counter()
+        started_at = time.perf_counter()
         samples = await asyncio.gather(
             *(
-                ask(pool, number, STREAM_TOKENS, True)
+                request_completion(pool, number, STREAM_TOKENS, True)
                 for number in range(STREAMS)
             )
         )
-        seconds = time.perf_counter() - started
+        seconds = time.perf_counter() - started_at
         events = sum(sample.events for sample in samples)
-        firsts = sorted(sample.first * MILLISECONDS for sample in samples)
+        first_bytes = sorted(
+            sample.first_byte * MILLISECONDS for sample in samples
+        )
         print(
             f'{STREAMS} streams, {title}: {events / seconds:.0f} events/s,'
-            f' first byte p50 {statistics.median(firsts):.1f} ms'
-            f' p99 {firsts[int(len(firsts) * 0.99) - 1]:.1f} ms'
+            f' first byte p50 {statistics.median(first_bytes):.1f} ms'
+            f' p99 {first_bytes[int(len(first_bytes) * 0.99) - 1]:.1f} ms'
         )
 
 
-async def measure_under_streams(
+async def measure_during_streams(
     direct: ClientPool, routed: ClientPool
 ) -> None:
-    """Time short answers while many streams run through the router."""
+    """Measure short answers while many streams pass through the router."""
     background = [
-        asyncio.create_task(ask(routed, number, STREAM_TOKENS * 5, True))
+        asyncio.create_task(
+            request_completion(routed, number, STREAM_TOKENS * 5, True)
+        )
         for number in range(STREAMS)
     ]
     await asyncio.sleep(1.0)
@@ -124,39 +137,46 @@
     times: dict[str, list[float]] = {name: [] for name in paths}
     while not all(task.done() for task in background):
         for name, pool in paths.items():
-            sample = await ask(pool, len(times[name]), 1, False)
-            times[name].append(sample.whole * MILLISECONDS)
+            sample = await request_completion(pool, len(times[name]), 1, False)
+            times[name].append(sample.complete * MILLISECONDS)
     await asyncio.gather(*background)
-    report(f'whole answer under {STREAMS} streams', times)
+    print_percentiles(f'complete answer during {STREAMS} streams', times)
+
 
+def print_percentiles(title: str, times: dict[str, list[float]]) -> None:
+    """Print the percentiles of both paths and their differences.
 
-def report(title: str, times: dict[str, list[float]]) -> None:
-    """Print the percentiles of both paths and what the router adds."""
-    figures = {}
+    :param times: milliseconds of the answers on each path.
+    """
+    percentiles = {}
     for name, values in times.items():
         cuts = statistics.quantiles(values, n=100)
-        figures[name] = (statistics.median(values), cuts[PERCENT_99])
+        percentiles[name] = (statistics.median(values), cuts[P99_INDEX])
     added = [
         routed - direct
-        for routed, direct in zip(figures['routed'], figures['direct'])
+        for routed, direct in zip(percentiles['routed'], percentiles['direct'])
     ]
-    for name, (middle, tail) in figures.items():
-        print(f'{title}, {name}: p50 {middle:.2f} ms p99 {tail:.2f} ms')
+    for name, (p50, p99) in percentiles.items():
+        print(f'{title}, {name}: p50 {p50:.2f} ms p99 {p99:.2f} ms')
     print(f'{title}, added: p50 {added[0]:.2f} ms p99 {added[1]:.2f} ms')
 
 
 async def run(engine: str, router: str) -> None:
-    """Measure everything."""
+    """Run all measurements.
+
+    :param engine: address of the engine.
+    :param router: address of the router.
+    """
     clock = SystemClock()
     direct = ClientPool(parse_address(engine), clock, 5.0)
     routed = ClientPool(parse_address(router), clock, 5.0)
-    await measure_whole(direct, routed)
+    await measure_sequential(direct, routed)
     await measure_streams(direct, routed)
-    await measure_under_streams(direct, routed)
+    await measure_during_streams(direct, routed)
 
 
 def main() -> None:
-    """Start a router and one engine and measure both paths."""
+    """Start a router and engines, and measure both paths."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.parse_args()
     arguments = ('--decode-seconds', DECODE_SECONDS, '--slots', '1000')
--- a/benchmarks/upstream_limits.py
+++ b/benchmarks/upstream_limits.py
@@ -10,9 +10,10 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Compares ways to keep upstreams' limits over all routers in a played load.
+"""Compares algorithms that enforce limits of upstreams across many routers.
 
-``python -m benchmarks.upstream_limits [ROUTERS ...]``
+Run it as ``python -m benchmarks.upstream_limits [ROUTERS ...]``. The load is
+simulated.
 """
 
 import sys
@@ -26,29 +27,29 @@
 DESIGNS = (Unread, EqualShares, Permits)
 ROUTERS = (6, 23, 90, 350)
 RATES = (0.1, 1.2, 10.0, 50.0)
-# Requests a second for each router.
-LOAD = 4.0
+# Requests per second for each router.
+REQUESTS_PER_SECOND = 4.0
 
 
 def main(routers: tuple[int, ...]) -> None:
-    """Print a line for each load and way."""
+    """Print a line for each scenario and algorithm."""
     for count in routers:
         for rate in RATES:
             for limited in (1 / 9, 1 / 3):
-                play = LimitScenario(
-                    count, rate, LOAD * count, limited=limited
+                scenario = LimitScenario(
+                    count, rate, REQUESTS_PER_SECOND * count, limited=limited
                 )
                 for design in DESIGNS:
-                    outcome = simulate_limits(play, design)
+                    outcome = simulate_limits(scenario, design)
                     print(
-                        f'{count:4d} routers, {rate:5.1f} a second at'
+                        f'{count:4d} routers, {rate:5.1f} per second at'
                         f' {limited:4.2f} of the upstreams,'
                         f' {design.__name__:12s}'
-                        f' most {outcome.peak:7.2f},'
+                        f' peak {outcome.peak:7.2f},'
                         f' used {outcome.used:7.2f},'
                         f' served {outcome.served:.3f},'
-                        f' {outcome.messages:6.0f} messages a second,'
-                        f' {outcome.microseconds:4.0f} us a request'
+                        f' {outcome.messages:6.0f} messages per second,'
+                        f' {outcome.microseconds:4.0f} us per request'
                     )
 
 
--- a/benchmarks/usage_caps.py
+++ b/benchmarks/usage_caps.py
@@ -10,12 +10,13 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Ways to keep a workspace's cap over many routers, compared.
+"""Compares algorithms that enforce a workspace's cap across many routers.
 
-Prints a table for each number of routers: the units of the fullest window of
-what it may hold, the requests that were refused, and the units that were
-given out of those that one bucket without any delay gives out. Below it the
-processor time of a decision.
+Prints a table for each number of routers. Each cell has three numbers: the
+highest usage of any window relative to the allowed usage, the fraction of the
+requests that were refused, and the admitted units relative to those that a
+single bucket without any delay admits. Below the table is the CPU time of a
+decision.
 """
 
 import sys
@@ -30,7 +31,7 @@
 
 CALM = (1.0,) * 20
 HOT = (1.0,) * 4 + (5.1,) * 10 + (1.0,) * 6
-PLAYS = {
+SCENARIOS = {
     'calm': Play(CALM),
     'calm, uneven': Play(CALM, uneven=True),
     'calm, cut in two': Play(CALM, cut=(4.0, 12.0)),
@@ -58,41 +59,41 @@
 
 
 def main() -> None:
-    """Print the tables for the numbers of routers that are given, or all."""
+    """Print the tables for the given numbers of routers, or for all."""
     for routers in [int(text) for text in sys.argv[1:]] or ROUTERS:
         names = ' '.join(f'{design.__name__:>23}' for design in DESIGNS)
         print(f'{routers} routers{"":20}{names}')
-        for name, play in PLAYS.items():
+        for name, scenario in SCENARIOS.items():
             row = ' '.join(
-                _render(design, routers, play) for design in DESIGNS
+                _render(design, routers, scenario) for design in DESIGNS
             )
             print(f'{name:31}{row}', flush=True)
-        print(f'a decision: {_time_decision(routers):.1f} us')
+        print(f'CPU time per decision: {_time_decision(routers):.1f} us')
 
 
-def _render(design: type, routers: int, play: Play) -> str:
+def _render(design: type, routers: int, scenario: Play) -> str:
     if design is DemandShares and routers > ROUTERS[2]:
-        return f'{"not played":>23}'
-    outcomes = [CapPlay(routers, play, seed).run(design) for seed in SEEDS]
-    most = max(outcome.most for outcome in outcomes)
+        return f'{"not simulated":>23}'
+    outcomes = [CapPlay(routers, scenario, seed).run(design) for seed in SEEDS]
+    peak = max(outcome.most for outcome in outcomes)
     refused = sum(outcome.refused for outcome in outcomes) / len(SEEDS)
-    given = sum(outcome.given for outcome in outcomes) / len(SEEDS)
-    return f'{most:7.3f} {refused:7.4f} {given:7.3f}'
+    admitted = sum(outcome.given for outcome in outcomes) / len(SEEDS)
+    return f'{peak:7.3f} {refused:7.4f} {admitted:7.3f}'
 
 
 def _time_decision(routers: int) -> float:
-    play = CapPlay(routers, Play(CALM), 1)
-    design = SharedLevels(play)
+    simulation = CapPlay(routers, Play(CALM), 1)
+    design = SharedLevels(simulation)
     for number in range(200):
         design.step(number)
-        design.admit(play.routers[number % routers], 0.0)
-        play.clock.advance(0.05)
-    ledger = design.ledgers[play.routers[0]]
-    began = time.perf_counter()
+        design.admit(simulation.routers[number % routers], 0.0)
+        simulation.clock.advance(0.05)
+    ledger = design.ledgers[simulation.routers[0]]
+    started_at = time.perf_counter()
     for _ in range(ROUNDS):
-        play.clock.advance(0.0001)
+        simulation.clock.advance(0.0001)
         ledger.admit(design.workspace, 0.0)
-    return (time.perf_counter() - began) / ROUNDS * MICROSECONDS
+    return (time.perf_counter() - started_at) / ROUNDS * MICROSECONDS
 
 
 if __name__ == '__main__':
