--- a/src/lifttrestle/internal/router/call.py
+++ b/src/lifttrestle/internal/router/call.py
@@ -43,7 +43,7 @@
     head: ResponseHead
     stall_seconds: float
 
-    async def iterate(self) -> AsyncIterator[bytes]:
+    async def iterate_body(self) -> AsyncIterator[bytes]:
         """Yield the parts of the body as they arrive.
 
         :raises UpstreamLost: if it was cut short or fell silent.
@@ -61,14 +61,14 @@
                 ) from None
             yield part
 
-    async def read_whole(self, limit: int) -> bytes:
+    async def read_body(self, limit: int) -> bytes:
         """Return the whole body.
 
-        :raises UpstreamLost: as ``iterate``, or if it is over ``limit``.
+        :raises UpstreamLost: as ``iterate_body``, or if it is over ``limit``.
         """
         held: list[bytes] = []
         size = 0
-        async for part in self.iterate():
+        async for part in self.iterate_body():
             size += len(part)
             if size > limit:
                 raise UpstreamLost(f'the answer is over {limit} bytes')
--- a/src/lifttrestle/internal/router/service_answer.py
+++ b/src/lifttrestle/internal/router/service_answer.py
@@ -54,7 +54,7 @@
 
 async def read_whole(call: UpstreamCall, limit: int) -> Answer:
     """Return the whole answer, at most ``limit`` bytes of body."""
-    body = await call.read_whole(limit)
+    body = await call.read_body(limit)
     return Answer(call.head.status, keep_end_headers(call.head.headers), body)
 
 
@@ -69,7 +69,7 @@
         return
     held: list[bytes] = []
     size = 0
-    parts = call.iterate()
+    parts = call.iterate_body()
     async for part in parts:
         held.append(part)
         size += len(part)
@@ -83,7 +83,7 @@
 
 async def _pass_head(scope: RequestScope, call: UpstreamCall) -> None:
     """Pass on the answer to a HEAD request, which has a length and no body."""
-    await call.read_whole(0)
+    await call.read_body(0)
     headers = _build_headers(scope, call, with_length=True)
     await scope.connection.start_answer(call.head.status, headers)
     await scope.connection.end_answer()
--- a/src/lifttrestle/internal/router/stream_relay.py
+++ b/src/lifttrestle/internal/router/stream_relay.py
@@ -50,7 +50,7 @@
     async def consume(self, call: UpstreamCall) -> None:
         """Forward events until the end of the stream."""
         parser = StreamParser()
-        async for part in call.iterate():
+        async for part in call.iterate_body():
             events = parser.feed(part)
             try:
                 data, lost = self._select(events)
--- a/src/lifttrestle/internal/router/whole_relay.py
+++ b/src/lifttrestle/internal/router/whole_relay.py
@@ -45,7 +45,7 @@
 
     async def consume(self, call: UpstreamCall) -> None:
         """Read the whole answer, check it and send it on."""
-        body = await call.read_whole(MAX_ANSWER_BYTES)
+        body = await call.read_body(MAX_ANSWER_BYTES)
         try:
             answer = msgspec.json.decode(body, type=WholeAnswer)
         except msgspec.MsgspecError as error:
