--- a/src/lifttrestle/internal/router/attempt.py
+++ b/src/lifttrestle/internal/router/attempt.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""One attempt at one upstream."""
+"""One attempt to serve a request at one upstream."""
 
 import dataclasses
 
@@ -22,9 +22,12 @@
 
 @dataclasses.dataclass
 class Attempt:
-    """The chosen upstream and the line to be logged about it.
+    """The chosen upstream and the decision to be logged when it ends.
 
-    :ivar number: from 1; part of the id sent to the upstream.
+    :ivar number: counts the attempts of the request from 1; a part of the
+        request id sent to the upstream.
+    :ivar candidate: the upstream as the routing policy saw it.
+    :ivar sent_at: monotonic time in seconds at which the attempt started.
     """
 
     number: int
--- a/src/lifttrestle/internal/router/buffered_relay.py
+++ b/src/lifttrestle/internal/router/buffered_relay.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Passes on an answer that is not streamed, once it is complete."""
+"""Forwards an answer that is not streamed, once it is complete."""
 
 import msgspec
 
@@ -24,15 +24,15 @@
 MAX_ANSWER_BYTES = 32 * 1024 * 1024
 
 
-class WholeAnswer(msgspec.Struct):
-    """The part of a whole answer that the router reads."""
+class Completion(msgspec.Struct):
+    """The fields of a complete answer that the router reads."""
 
     choices: list[msgspec.Raw]
     usage: Usage | None = None
 
 
-class WholeRelay(AnswerRelay):
-    """Keeps the answer until its end, so that a lost one can be retried."""
+class BufferedRelay(AnswerRelay):
+    """Buffers the answer to its end, so that a lost one can be retried."""
 
     def __init__(self, scope: RequestScope) -> None:
         self._scope = scope
@@ -43,14 +43,18 @@
         """Return whether the caller has received a part of the answer."""
         return self._started
 
-    async def consume(self, call: UpstreamCall) -> None:
-        """Read the whole answer, check it and send it on."""
+    async def forward(self, call: UpstreamCall) -> None:
+        """Read the complete answer, validate it and send it.
+
+        :raises UpstreamLost: if the answer broke off, exceeds
+            ``MAX_ANSWER_BYTES`` or is invalid.
+        """
         body = await call.read_body(MAX_ANSWER_BYTES)
         try:
-            answer = msgspec.json.decode(body, type=WholeAnswer)
+            answer = msgspec.json.decode(body, type=Completion)
         except msgspec.MsgspecError as error:
             raise UpstreamLost(
-                f'the answer is not a whole completion: {error}'
+                f'the answer is not a valid completion: {error}'
             ) from error
         self.usage = answer.usage
         self._started = True
--- a/src/lifttrestle/internal/router/call.py
+++ b/src/lifttrestle/internal/router/call.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""One HTTP exchange with an upstream, up to the head of its answer."""
+"""Sends requests to upstreams and reads their answers."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -34,9 +34,9 @@
 
 @dataclasses.dataclass
 class UpstreamCall:
-    """A connection on which the head of the answer has been read.
+    """An HTTP exchange whose answer has been read up to its head.
 
-    :ivar stall_seconds: the longest silence within the answer.
+    :ivar stall_seconds: the longest pause between two parts of the body.
     """
 
     connection: ClientConnection
@@ -46,7 +46,7 @@
     async def iterate_body(self) -> AsyncIterator[bytes]:
         """Yield the parts of the body as they arrive.
 
-        :raises UpstreamLost: if it was cut short or fell silent.
+        :raises UpstreamLost: if the body ended early or stalled.
         """
         parts = aiter(self.connection.iterate_body())
         while True:
@@ -57,23 +57,24 @@
                 return
             except TimeoutError:
                 raise UpstreamLost(
-                    f'the answer was silent for {self.stall_seconds:g} s'
+                    f'the answer stalled for {self.stall_seconds:g} s'
                 ) from None
             yield part
 
     async def read_body(self, limit: int) -> bytes:
-        """Return the whole body.
+        """Return the complete body.
 
-        :raises UpstreamLost: as ``iterate_body``, or if it is over ``limit``.
+        :raises UpstreamLost: as ``iterate_body``, or if the body exceeds
+            ``limit`` bytes.
         """
-        held: list[bytes] = []
+        chunks: list[bytes] = []
         size = 0
         async for part in self.iterate_body():
             size += len(part)
             if size > limit:
-                raise UpstreamLost(f'the answer is over {limit} bytes')
-            held.append(part)
-        return b''.join(held)
+                raise UpstreamLost(f'the answer exceeds {limit} bytes')
+            chunks.append(part)
+        return b''.join(chunks)
 
 
 async def open_call(
@@ -85,31 +86,33 @@
     *,
     once: bool = False,
 ) -> UpstreamCall:
-    """Send a request and return its answer's head.
+    """Send a request and read the head of its answer.
 
-    :param once: the request may not be repeated: it goes over a connection
-        of its own.
-    :raises UpstreamConnectFailed: if nothing was sent.
-    :raises UpstreamLost: if the exchange broke off.
+    A request that fails on a reused connection is sent again on a new one.
+
+    :param once: the request may not be repeated, so it is sent on a new
+        connection and fails if that does.
+    :raises UpstreamConnectFailed: if no connection could be opened.
+    :raises UpstreamLost: if the exchange broke off or timed out.
     """
-    reused_may_fail = not once
+    allow_reuse = not once
     while True:
-        connection = await attempt.upstream.pool.take(
-            fresh=not reused_may_fail
-        )
-        stale_risk = connection.exchanges > 0
+        connection = await attempt.upstream.pool.take(fresh=not allow_reuse)
+        reused = connection.exchanges > 0
         try:
             scope.progress.apply(RequestEvent.SEND)
-            answer = await _exchange(parts, scope, connection, head, body)
+            answer = await _send_and_read_head(
+                parts, scope, connection, head, body
+            )
             stall = parts.settings.deadlines.stall
             return UpstreamCall(connection, answer, stall)
         except UpstreamLost:
             connection.close()
-            if not (stale_risk and reused_may_fail):
+            if not (reused and allow_reuse):
                 raise
-            # The upstream had closed the kept connection. A new one tells
-            # whether it is there at all.
-            reused_may_fail = False
+            # The upstream may only have closed the idle connection; a new
+            # one shows whether it still serves requests.
+            allow_reuse = False
         except BaseException:
             connection.close()
             raise
@@ -118,18 +121,18 @@
 def check_answer(
     parts: RouterParts, attempt: Attempt, call: UpstreamCall, request_id: str
 ) -> None:
-    """Refuse an answer that is not to be passed on.
+    """Reject an answer that must not be forwarded.
 
     :raises WrongAnswer: if it echoes another request's id.
-    :raises UpstreamDeclined: if the upstream says that it takes no work.
+    :raises UpstreamDeclined: if the upstream is draining.
     """
     head = call.head
     echoed = head.get_header('x-request-id')
     if attempt.upstream.settings.can.echoes_request_id:
         if echoed != request_id:
             raise WrongAnswer(
-                f'{attempt.upstream.name} answered request {echoed!r} in'
-                f' place of {request_id!r}'
+                f'{attempt.upstream.name} answered request {echoed!r} instead'
+                f' of {request_id!r}'
             )
     if parts.driver.is_draining(head):
         attempt.upstream.draining = True
@@ -137,10 +140,10 @@
 
 
 def check_engine_status(attempt: Attempt, call: UpstreamCall) -> None:
-    """Refuse an engine's answer after which another engine may do better.
+    """Reject an engine's answer if another engine may succeed.
 
-    :raises UpstreamDeclined: if the engine was too busy to begin.
-    :raises UpstreamFailed: if the engine failed.
+    :raises UpstreamDeclined: if the engine was too busy to run the request.
+    :raises UpstreamFailed: if the engine answered with a server error.
     """
     status = call.head.status
     if status in BUSY_STATUSES:
@@ -149,7 +152,7 @@
         raise UpstreamFailed(f'{attempt.upstream.name} answered {status}')
 
 
-async def _exchange(
+async def _send_and_read_head(
     parts: RouterParts,
     scope: RequestScope,
     connection: ClientConnection,
@@ -158,8 +161,8 @@
 ) -> ResponseHead:
     seconds = parts.settings.deadlines.first_byte
     if not scope.connection.answer_started:
-        left = scope.deadline - parts.clock.monotonic()
-        seconds = max(min(seconds, left), 0)
+        remaining = scope.deadline - parts.clock.monotonic()
+        seconds = max(min(seconds, remaining), 0)
     try:
         async with asyncio.timeout(seconds):
             await connection.send_request(head, body)
--- a/src/lifttrestle/internal/router/chooser.py
+++ b/src/lifttrestle/internal/router/chooser.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Chooses the upstream of an attempt and keeps count of its outcome."""
+"""Chooses the upstream of each attempt and records its outcome."""
 
 from collections.abc import Iterator
 import contextlib
@@ -31,12 +31,13 @@
 from lifttrestle.internal.upstream.report import EngineReport
 from lifttrestle.internal.upstream.state import UpstreamState
 
-REMOTE_SECONDS = 0.003
+# Additional network latency to an upstream in another data centre.
+REMOTE_LATENCY_SECONDS = 0.003
 RETRY_SECONDS = 1.0
 
 
 class UpstreamChooser:
-    """Applies the routing policy to the upstreams that fit a request."""
+    """Applies the routing policy to the upstreams available to a request."""
 
     def __init__(self, parts: RouterParts) -> None:
         self._parts = parts
@@ -49,24 +50,26 @@
         tried: set[str],
         number: int,
     ) -> Attempt:
-        """Return the next attempt.
+        """Choose an upstream and return the attempt.
 
-        :param tried: names of upstreams to leave out.
-        :param number: how many attempts the request will have had with it.
+        :param tried: names of the upstreams to exclude.
+        :param number: the number of the attempt, from 1.
         :raises RequestRefused: if no upstream may serve the request now.
         """
         parts = self._parts
-        target = self._narrow_place(scope, target)
-        fit = parts.registry.list_available(target, tried)
+        target = self._restrict_data_centres(scope, target)
+        available = parts.registry.list_available(target, tried)
         name = target.model or target.group
-        if not fit:
+        if not available:
             raise RequestRefused(
                 ErrorKind.NO_UPSTREAM,
                 f'no upstream can serve {name!r} now:'
                 f' {parts.registry.explain(target, tried)}',
                 retry_after=RETRY_SECONDS,
             )
-        candidates = [self._describe(upstream) for upstream in fit]
+        candidates = [
+            self._build_candidate(upstream) for upstream in available
+        ]
         now = parts.clock.monotonic()
         choice = parts.policy.choose(prompt, candidates, now)
         upstream = parts.registry.get(choice.name)
@@ -83,16 +86,18 @@
         return Attempt(
             number=number,
             upstream=upstream,
-            candidate=self._describe(upstream),
+            candidate=self._build_candidate(upstream),
             choice=choice,
             decision=decision,
         )
 
-    def _narrow_place(self, scope: RequestScope, target: Target) -> Target:
-        """Leave out data centres that a newer configuration forbids.
+    def _restrict_data_centres(
+        self, scope: RequestScope, target: Target
+    ) -> Target:
+        """Remove data centres that the current configuration forbids.
 
-        A request that waited, or is tried again, was admitted under an older
-        one; its place may have shrunk since.
+        A request that was queued or is retried was admitted under an earlier
+        configuration, which may have allowed its workspace more data centres.
         """
         document = self._parts.keeper.view.document
         workspace = document.workspaces.get(scope.workspace.name)
@@ -100,12 +105,12 @@
         data_centres = tuple(
             name for name in target.data_centres if name in allowed
         )
-        here = self._parts.settings.router.data_centre
-        if here not in data_centres:
+        local = self._parts.settings.router.data_centre
+        if local not in data_centres:
             raise RequestRefused(
                 ErrorKind.WRONG_PLACE,
                 f'workspace {scope.workspace.name!r} is no longer served in'
-                f' {here!r}',
+                f' {local!r}',
                 field='data_centre',
                 details={'data_centres': list(allowed)},
             )
@@ -113,7 +118,7 @@
 
     @contextlib.contextmanager
     def track(self, attempt: Attempt) -> Iterator[None]:
-        """Count the attempt as in flight, and log it when it ends."""
+        """Count the attempt as in flight and log its decision at the end."""
         parts = self._parts
         attempt.sent_at = parts.clock.monotonic()
         attempt.upstream.in_flight += 1
@@ -133,7 +138,10 @@
     def note_failure(
         self, scope: RequestScope, attempt: Attempt, error: Exception
     ) -> None:
-        """Hold a failure against the upstream, unless it only declined."""
+        """Record a failure with the circuit breaker.
+
+        A request that the upstream declined is no failure.
+        """
         if isinstance(error, UpstreamDeclined):
             scope.progress.apply(RequestEvent.DECLINED)
             return
@@ -142,7 +150,7 @@
         self._parts.metrics.count('attempts_failed')
 
     def note_first_byte(self, attempt: Attempt) -> None:
-        """Note that the upstream's answer has begun."""
+        """Record that the upstream's answer has started."""
         now = self._parts.clock.monotonic()
         attempt.upstream.breaker.note_success()
         if not attempt.decision.observed_seconds:
@@ -154,16 +162,20 @@
     def note_usage(
         self, attempt: Attempt, prompt: Prompt, cached: int, tokens: int
     ) -> None:
-        """Learn from the token counts of a complete answer."""
+        """Record a complete answer and pass its cache use to the policy.
+
+        :param cached: tokens of the prompt that the engine had cached.
+        :param tokens: generated tokens.
+        """
         attempt.decision.observed_cached = cached
         attempt.decision.tokens = tokens
         attempt.decision.outcome = 'complete'
         now = self._parts.clock.monotonic()
         self._parts.policy.observe(prompt, attempt.candidate, cached, now)
 
-    def _describe(self, upstream: UpstreamState) -> Candidate:
+    def _build_candidate(self, upstream: UpstreamState) -> Candidate:
         settings = upstream.settings
-        here = self._parts.settings.router.data_centre
+        local = self._parts.settings.router.data_centre
         report = upstream.report
         reported = 0
         if isinstance(report, EngineReport):
@@ -176,6 +188,8 @@
             in_flight=upstream.in_flight,
             reported=reported,
             distance_seconds=(
-                0.0 if settings.data_centre == here else REMOTE_SECONDS
+                0.0
+                if settings.data_centre == local
+                else REMOTE_LATENCY_SECONDS
             ),
         )
--- a/src/lifttrestle/internal/router/continuation.py
+++ b/src/lifttrestle/internal/router/continuation.py
@@ -10,10 +10,10 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""The request that goes on from a partial answer."""
+"""Builds the request that continues a partial answer."""
 
-from lifttrestle.internal.router.model_request import LIMIT_FIELDS
 from lifttrestle.internal.router.model_request import ModelRequest
+from lifttrestle.internal.router.model_request import TOKEN_LIMIT_FIELDS
 from lifttrestle.internal.router.route import RouteKind
 from lifttrestle.internal.stream.transcript import Transcript
 
@@ -21,21 +21,23 @@
 def build_continuation(
     request: ModelRequest, transcript: Transcript
 ) -> dict[str, object] | None:
-    """Return a body that asks for the rest, or None if nothing may follow.
+    """Return the body of a request for the rest of an answer.
 
-    A chat goes on from an open assistant message, a completion from its
-    prompt with the delivered text behind it. The limit on new tokens shrinks
-    by what was delivered.
+    A chat is continued from an unfinished assistant message, a completion
+    from its prompt followed by the delivered text. The delivered tokens are
+    subtracted from the limits on generated tokens.
+
+    :return: None if such a limit has been reached.
     """
     body = dict(request.body)
-    for field in LIMIT_FIELDS:
+    for field in TOKEN_LIMIT_FIELDS:
         limit = body.get(field)
         if not isinstance(limit, int):
             continue
-        left = limit - transcript.tokens
-        if left < 1:
+        remaining = limit - transcript.tokens
+        if remaining < 1:
             return None
-        body[field] = left
+        body[field] = remaining
     text = transcript.text
     if request.kind is RouteKind.COMPLETIONS:
         body['prompt'] = f'{body["prompt"]}{text}'
@@ -43,8 +45,8 @@
     if text:
         messages = body['messages']
         assert isinstance(messages, list)
-        partial = {'role': 'assistant', 'content': text}
-        body['messages'] = [*messages, partial]
+        delivered = {'role': 'assistant', 'content': text}
+        body['messages'] = [*messages, delivered]
         body['continue_final_message'] = True
         body['add_generation_prompt'] = False
     return body
--- a/src/lifttrestle/internal/router/generation_control.py
+++ b/src/lifttrestle/internal/router/generation_control.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Streams that an engine keeps for a while: read on, or ended."""
+"""Resumes or cancels the generation of an interrupted stream."""
 
 import asyncio
 
@@ -26,7 +26,7 @@
 MAX_ANSWER_BYTES = 64 * 1024
 
 
-async def open_kept_stream(
+async def resume_stream(
     parts: RouterParts,
     attempt: Attempt,
     identity: EngineIdentity,
@@ -34,9 +34,9 @@
 ) -> ClientConnection | None:
     """Return a connection on which the rest of a stream arrives.
 
-    :param head: the driver's request for it.
-    :return: None if the engine does not keep streams, is not there, or is
-        not the same incarnation with the same weights any more.
+    :param head: the request to resume the stream, built by the driver.
+    :return: None if the engine cannot resume streams, cannot be reached in
+        time, or is no longer the same incarnation with the same weights.
     """
     can = attempt.upstream.settings.can.resumes_streams
     if not can or not identity.stream_id:
@@ -51,17 +51,17 @@
         if connection is not None:
             connection.close()
         return None
-    same = parts.driver.decode_identity(answer) == identity
-    if answer.status != STATUS_OK or not same:
+    is_same = parts.driver.decode_identity(answer) == identity
+    if answer.status != STATUS_OK or not is_same:
         connection.close()
         return None
     return connection
 
 
 async def cancel_generation(attempt: Attempt, head: RequestHead) -> None:
-    """End a generation that no one reads any more.
+    """Cancel a generation whose caller has gone.
 
-    :param head: the driver's request for it.
+    :param head: the request to cancel it, built by the driver.
     """
     try:
         connection = await attempt.upstream.pool.take()
--- a/src/lifttrestle/internal/router/model_exchange.py
+++ b/src/lifttrestle/internal/router/model_exchange.py
@@ -12,10 +12,11 @@
 
 """Serves one request of the chat and completion API.
 
-Generation is idempotent: until the answer has begun, a failed attempt is made
-again elsewhere. A stream that breaks off is resumed at the same incarnation,
-else continued by another replica of the same weights from the text that was
-delivered, else it fails in a way that can't be taken for its end.
+Generation is idempotent: until the answer has started, a failed attempt is
+retried at another engine. A stream that breaks off is resumed at the same
+incarnation. If that fails, a replica with the same weights continues it from
+the delivered text. If that fails too, the stream ends with an error that the
+caller cannot mistake for its end.
 """
 
 import msgspec
@@ -37,7 +38,7 @@
 from lifttrestle.internal.http.head import RequestHead
 from lifttrestle.internal.refusal.kind import ErrorKind
 from lifttrestle.internal.router.attempt import Attempt
-from lifttrestle.internal.router.buffered_relay import WholeRelay
+from lifttrestle.internal.router.buffered_relay import BufferedRelay
 from lifttrestle.internal.router.call import check_answer
 from lifttrestle.internal.router.call import check_engine_status
 from lifttrestle.internal.router.call import open_call
@@ -45,7 +46,7 @@
 from lifttrestle.internal.router.chooser import UpstreamChooser
 from lifttrestle.internal.router.continuation import build_continuation
 from lifttrestle.internal.router.generation_control import cancel_generation
-from lifttrestle.internal.router.generation_control import open_kept_stream
+from lifttrestle.internal.router.generation_control import resume_stream
 from lifttrestle.internal.router.model_request import ModelRequest
 from lifttrestle.internal.router.parts import RouterParts
 from lifttrestle.internal.router.relay import AnswerRelay
@@ -65,7 +66,7 @@
 
 
 class ModelExchange(AttemptPlan[Attempt, None]):
-    """Owns the attempts that one request needs."""
+    """Makes the attempts that one request needs."""
 
     def __init__(
         self,
@@ -81,8 +82,8 @@
         self._request = request
         self._model = model
         salt = derive_salt(scope.workspace.name, model.name, model.version)
-        own_salt = request.body.get('cache_salt')
-        self._salt = f'{salt}-{own_salt}' if own_salt else salt
+        caller_salt = request.body.get('cache_salt')
+        self._salt = f'{salt}-{caller_salt}' if caller_salt else salt
         self._prompt = derive_prompt(
             self._salt, request.texts, request.cache_key
         )
@@ -94,8 +95,9 @@
     async def run(self) -> None:
         """Serve the request to its end.
 
-        :raises RequestRefused: if no answer could be begun, or it broke
-            off; then the caller's connection is cut already.
+        :raises RequestRefused: if no answer could be started, or if a stream
+            broke off; in the latter case, the caller's connection has been
+            aborted.
         """
         self._parts.budget.note_request()
         try:
@@ -104,25 +106,28 @@
             await self._fail(refused)
 
     async def choose(self) -> Attempt:
-        """Return the next engine, beginning anew when each has failed."""
+        """Choose an engine, a failed one again if all have failed."""
         attempt = self._choose()
         self._tried.add(attempt.upstream.name)
         return attempt
 
     async def attempt(self, chosen: Attempt) -> None:
-        """Send the request and pass its answer on."""
+        """Send the request and forward its answer."""
         with self._chooser.track(chosen):
-            await self._try(chosen)
+            await self._run_attempt(chosen)
 
     async def handle_failure(
         self, chosen: Attempt, error: LifttrestleError
     ) -> FailureAction:
-        """End a stream that is whole but for its end, or try again."""
-        if await self._end_lost_stream():
+        """End a stream that lacks only its end, or decide on a retry.
+
+        :raises RequestRefused: if no further attempt may be made.
+        """
+        if await self._try_finish_stream():
             return FailureAction.END
-        given_up = self._judge_failure(error)
-        if given_up is not None:
-            raise given_up
+        refusal = self._find_refusal(error)
+        if refusal is not None:
+            raise refusal
         return FailureAction.RETRY
 
     def _choose(self) -> Attempt:
@@ -137,21 +142,21 @@
         )
         self._attempts += 1
         try:
-            return self._choose_once(target)
+            return self._choose_untried(target)
         except RequestRefused:
             if not self._tried or self._attempts > MAX_ATTEMPTS:
                 raise
-            # Every upstream has failed once. Generation may be repeated, and
-            # what failed may have passed.
+            # Every engine has failed once. Generation may be repeated, and the
+            # cause of a failure may no longer exist.
             self._tried.clear()
-            return self._choose_once(target)
+            return self._choose_untried(target)
 
-    def _choose_once(self, target: Target) -> Attempt:
+    def _choose_untried(self, target: Target) -> Attempt:
         return self._chooser.choose(
             self._scope, target, self._prompt, self._tried, self._attempts
         )
 
-    async def _try(self, attempt: Attempt) -> None:
+    async def _run_attempt(self, attempt: Attempt) -> None:
         request_id = f'{self._scope.request_id}-{attempt.number}'
         head = RequestHead(
             'POST',
@@ -165,12 +170,12 @@
             call = await open_call(
                 self._parts, self._scope, attempt, head, self._body
             )
-            await self._take_answer(attempt, call, request_id)
+            await self._handle_answer(attempt, call, request_id)
         except ATTEMPT_FAILURES as error:
             self._chooser.note_failure(self._scope, attempt, error)
             raise
 
-    async def _take_answer(
+    async def _handle_answer(
         self, attempt: Attempt, call: UpstreamCall, request_id: str
     ) -> None:
         identity = self._parts.driver.decode_identity(call.head)
@@ -178,16 +183,16 @@
             check_answer(self._parts, attempt, call, request_id)
             check_engine_status(attempt, call)
             if call.head.status >= FIRST_CLIENT_ERROR:
-                await self._pass_error(attempt, call)
+                await self._forward_error(attempt, call)
                 attempt.upstream.pool.give_back(call.connection)
                 return
             self._check_weights(attempt, identity)
             self._scope.progress.apply(RequestEvent.ANSWER)
             self._chooser.note_first_byte(attempt)
-            await self._consume(attempt, call, identity)
+            await self._forward_answer(attempt, call, identity)
         except CallerGone:
             call.connection.close()
-            self._cancel_later(attempt, identity)
+            self._schedule_cancel(attempt, identity)
             raise
         except BaseException:
             call.connection.close()
@@ -196,14 +201,14 @@
         self._scope.progress.apply(RequestEvent.END)
         self._note_usage(attempt)
 
-    async def _consume(
+    async def _forward_answer(
         self, attempt: Attempt, call: UpstreamCall, identity: EngineIdentity
     ) -> None:
-        """Pass the answer on, resuming it where it broke off."""
+        """Forward the answer, resuming the stream where it breaks off."""
         resumes = 0
         while True:
             try:
-                await self._relay.consume(call)
+                await self._relay.forward(call)
                 return
             except UpstreamLost as lost:
                 call.connection.close()
@@ -222,9 +227,7 @@
         head = self._parts.driver.build_resume(
             identity, relay.order.last_index, request_id
         )
-        connection = await open_kept_stream(
-            self._parts, attempt, identity, head
-        )
+        connection = await resume_stream(self._parts, attempt, identity, head)
         if connection is None:
             raise lost
         attempt.decision.reason += ', resumed'
@@ -240,12 +243,14 @@
             f' {identity.version!r}, not {self._model.version!r}'
         )
 
-    async def _pass_error(self, attempt: Attempt, call: UpstreamCall) -> None:
+    async def _forward_error(
+        self, attempt: Attempt, call: UpstreamCall
+    ) -> None:
         body = await call.connection.read_body(MAX_ERROR_BYTES)
         attempt.decision.outcome = f'status {call.head.status}'
         if self._relay.started:
             raise UpstreamFailed(
-                f'{attempt.upstream.name} refused to go on with a text'
+                f'{attempt.upstream.name} refused to continue the answer'
             )
         self._scope.progress.apply(RequestEvent.ANSWER)
         headers = (
@@ -256,18 +261,18 @@
             Answer(call.head.status, headers, body)
         )
 
-    async def _end_lost_stream(self) -> bool:
+    async def _try_finish_stream(self) -> bool:
         relay = self._relay
         if not isinstance(relay, StreamRelay) or not relay.started:
             return False
-        return await relay.finish_lost_end(self._request.max_tokens)
+        return await relay.try_finish(self._request.max_tokens)
 
-    def _judge_failure(self, error: LifttrestleError) -> RequestRefused | None:
-        """Return None if another attempt is to be made."""
+    def _find_refusal(self, error: LifttrestleError) -> RequestRefused | None:
+        """Return why the request fails, or None to make another attempt."""
         relay = self._relay
         if relay.started and not self._prepare_continuation():
             return self._refuse(f'the answer broke off: {error}')
-        if not relay.started and self._is_late():
+        if not relay.started and self._is_past_deadline():
             return RequestRefused(
                 ErrorKind.DEADLINE_EXCEEDED,
                 f'no answer began in time: {error}',
@@ -310,12 +315,12 @@
             retry_after=RETRY_SECONDS,
         )
 
-    def _is_late(self) -> bool:
+    def _is_past_deadline(self) -> bool:
         return self._parts.clock.monotonic() >= self._scope.deadline
 
     def _build_relay(self) -> AnswerRelay:
         if not self._request.streams:
-            return WholeRelay(self._scope)
+            return BufferedRelay(self._scope)
         return StreamRelay(self._scope, self._request.wants_usage)
 
     def _build_body(self) -> bytes:
@@ -349,7 +354,7 @@
                 self._scope.workspace.priority,
             )
 
-    def _cancel_later(
+    def _schedule_cancel(
         self, attempt: Attempt, identity: EngineIdentity
     ) -> None:
         if not identity.stream_id or not self._request.streams:
--- a/src/lifttrestle/internal/router/model_request.py
+++ b/src/lifttrestle/internal/router/model_request.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""A validated request of the chat and completion API."""
+"""Parses and validates requests of the chat and completion API."""
 
 import dataclasses
 
@@ -24,8 +24,9 @@
     RouteKind.CHAT: '/v1/chat/completions',
     RouteKind.COMPLETIONS: '/v1/completions',
 }
-LIMIT_FIELDS = ('max_completion_tokens', 'max_tokens')
-# With any of these, an answer's text alone does not say how to go on.
+TOKEN_LIMIT_FIELDS = ('max_completion_tokens', 'max_tokens')
+# With any of these fields, the delivered text alone is not enough to continue
+# an answer.
 NOT_CONTINUABLE = (
     'tools',
     'functions',
@@ -39,10 +40,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class ModelRequest:
-    """What the router needs of a request's body.
+    """The fields of a request's body that the router uses.
 
     :ivar body: the caller's JSON object.
-    :ivar texts: the texts of the messages in order, or the one prompt.
+    :ivar texts: the texts of the messages in order, or the single prompt.
     """
 
     kind: RouteKind
@@ -62,14 +63,14 @@
 
     @property
     def wants_usage(self) -> bool:
-        """Return whether the caller asked for counts in its stream."""
+        """Return whether the caller asked for token counts in its stream."""
         options = self.body.get('stream_options')
         return isinstance(options, dict) and bool(options.get('include_usage'))
 
     @property
     def max_tokens(self) -> int | None:
-        """Return the caller's limit on new tokens, if there is one."""
-        for field in LIMIT_FIELDS:
+        """Return the caller's limit on generated tokens, or None."""
+        for field in TOKEN_LIMIT_FIELDS:
             limit = self.body.get(field)
             if isinstance(limit, int):
                 return limit
@@ -77,12 +78,15 @@
 
     @property
     def cache_key(self) -> str:
-        """Return the caller's hint which requests share a prefix."""
+        """Return the caller's prompt cache key, or an empty string.
+
+        Requests with the same key are expected to share a prefix.
+        """
         return str(self.body.get('prompt_cache_key') or '')
 
     @property
     def continuable(self) -> bool:
-        """Return whether the answer can go on from its delivered text."""
+        """Return whether the answer can be continued from its text."""
         if any(self.body.get(name) for name in NOT_CONTINUABLE):
             return False
         if self.body.get('n', 1) not in (None, 1):
@@ -91,9 +95,9 @@
 
 
 def parse_model_request(kind: RouteKind, data: bytes) -> ModelRequest:
-    """Return the request in a body.
+    """Parse and validate the body of a request.
 
-    :raises RequestRefused: naming the field and value that are wrong.
+    :raises RequestRefused: naming the first invalid field and its value.
     """
     try:
         body = msgspec.json.decode(data)
@@ -104,12 +108,12 @@
     model = body.get('model')
     if not isinstance(model, str) or not model:
         raise _refuse('model', f'model = {model!r}: write a model name')
-    _check_flags(body)
-    texts = _READERS[kind](body)
+    _check_options(body)
+    texts = _TEXT_READERS[kind](body)
     return ModelRequest(kind, model, body, texts)
 
 
-def _check_flags(body: dict[str, object]) -> None:
+def _check_options(body: dict[str, object]) -> None:
     stream = body.get('stream')
     if stream not in (None, True, False):
         raise _refuse('stream', f'stream = {stream!r}: write true or false')
@@ -118,7 +122,7 @@
         raise _refuse(
             'stream_options', f'stream_options = {options!r}: write an object'
         )
-    for name in (*LIMIT_FIELDS, 'n'):
+    for name in (*TOKEN_LIMIT_FIELDS, 'n'):
         value = body.get(name)
         if value is None:
             continue
@@ -130,7 +134,7 @@
     messages = body.get('messages')
     if not isinstance(messages, list) or not messages:
         raise _refuse(
-            'messages', 'messages is not a list with one message or more'
+            'messages', 'messages is not a list of one or more messages'
         )
     return [
         _read_message(index, message) for index, message in enumerate(messages)
@@ -152,7 +156,8 @@
     if content is None or isinstance(content, list):
         return f'{role}: {msgspec.json.encode(message).decode()}'
     raise _refuse(
-        f'{field}.content', f'{field}.content is neither text nor parts'
+        f'{field}.content',
+        f'{field}.content is neither a string nor a list of parts',
     )
 
 
@@ -161,12 +166,14 @@
     if isinstance(prompt, list) and len(prompt) == 1:
         prompt = prompt[0]
     if not isinstance(prompt, str):
-        raise _refuse('prompt', 'prompt is not one text; send one a request')
+        raise _refuse(
+            'prompt', 'prompt is not a string; send one prompt per request'
+        )
     body['prompt'] = prompt
     return [prompt]
 
 
-_READERS = {
+_TEXT_READERS = {
     RouteKind.CHAT: _read_messages,
     RouteKind.COMPLETIONS: _read_prompt,
 }
--- a/src/lifttrestle/internal/router/models_answer.py
+++ b/src/lifttrestle/internal/router/models_answer.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""The list of models that a workspace may use."""
+"""Lists the models that a workspace may use."""
 
 import msgspec
 
--- a/src/lifttrestle/internal/router/relay.py
+++ b/src/lifttrestle/internal/router/relay.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""How an engine's answer reaches the caller."""
+"""Interface for forwarding an engine's answer to the caller."""
 
 import abc
 
@@ -19,7 +19,10 @@
 
 
 class AnswerRelay(abc.ABC):
-    """Passes one answer on, whole and in order."""
+    """Forwards one answer, complete and in order.
+
+    :ivar usage: the token counts of the answer, or None until received.
+    """
 
     usage: Usage | None = None
 
@@ -29,9 +32,9 @@
         """Return whether the caller has received a part of the answer."""
 
     @abc.abstractmethod
-    async def consume(self, call: UpstreamCall) -> None:
-        """Pass an answer on to its end.
+    async def forward(self, call: UpstreamCall) -> None:
+        """Forward an answer to its end.
 
-        :raises UpstreamLost: if the answer broke off; what was passed on is
-            remembered.
+        :raises UpstreamLost: if the answer broke off or is invalid; a later
+            call continues after what was forwarded.
         """
--- a/src/lifttrestle/internal/router/stream_relay.py
+++ b/src/lifttrestle/internal/router/stream_relay.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Passes on a stream, event by event."""
+"""Forwards a stream, event by event."""
 
 from lifttrestle.errors import CallerGone
 from lifttrestle.errors import UpstreamLost
@@ -28,7 +28,12 @@
 
 
 class StreamRelay(AnswerRelay):
-    """Forwards each event once, in order, and the explicit end last."""
+    """Forwards each event once, in order, and the end-of-stream event last.
+
+    :ivar transcript: the part of the stream that was delivered.
+    :ivar order: detects repeated and missing events of this generation.
+    :ivar complete: whether the end-of-stream event was received.
+    """
 
     def __init__(self, scope: RequestScope, wants_usage: bool) -> None:
         self._scope = scope
@@ -43,35 +48,40 @@
         return self._started
 
     def begin_continuation(self) -> None:
-        """Expect the rest of the answer from another generation."""
+        """Expect the rest of the answer from a new generation."""
         self.order = StreamOrder()
         self.transcript.begin_continuation()
 
-    async def consume(self, call: UpstreamCall) -> None:
-        """Forward events until the end of the stream."""
+    async def forward(self, call: UpstreamCall) -> None:
+        """Forward events until the end of the stream.
+
+        :raises UpstreamLost: if the stream broke off, or if an event is
+            invalid or missing.
+        """
         parser = StreamParser()
         async for part in call.iterate_body():
             events = parser.feed(part)
             try:
-                data, lost = self._select(events)
+                data, failure = self._process_events(events)
             except ValueError as error:
-                raise UpstreamLost(f'an event is unreadable: {error}') from (
-                    error
-                )
+                raise UpstreamLost(f'an event is invalid: {error}') from error
             if data:
                 await self._send(data)
-            if lost:
-                raise UpstreamLost(lost)
+            if failure:
+                raise UpstreamLost(failure)
         if not self.complete:
-            raise UpstreamLost('the stream ended without its last event')
+            raise UpstreamLost(
+                'the stream ended without its end-of-stream event'
+            )
         await self._end()
 
-    async def finish_lost_end(self, max_tokens: int | None) -> bool:
-        """End a stream of which only the end was lost.
+    async def try_finish(self, max_tokens: int | None) -> bool:
+        """End the stream if its text was delivered completely.
 
-        :param max_tokens: the caller's limit; a text that has reached it
-            ends there for certain.
-        :return: False if something else is missing too.
+        :param max_tokens: the caller's limit on generated tokens; a text
+            that has reached it is complete.
+        :return: False if text may be missing, or if the caller asked for
+            token counts, which are sent last.
         """
         transcript = self.transcript
         if transcript.wants_usage:
@@ -85,9 +95,12 @@
         return True
 
     async def fail(self, data: bytes) -> None:
-        """Tell the caller that the stream is broken, and cut it.
+        """Send an error event and abort the connection.
+
+        The terminating chunk is not sent, so that the caller cannot mistake
+        the failure for the end of the stream.
 
-        There is no terminating chunk, so it can't be taken for the end.
+        :param data: the error as JSON.
         """
         try:
             await self._scope.connection.send_part(_frame(data))
@@ -95,25 +108,26 @@
             pass
         self._scope.connection.abort()
 
-    def _select(self, events: list[StreamEvent]) -> tuple[bytes, str]:
-        chosen: list[bytes] = []
+    def _process_events(self, events: list[StreamEvent]) -> tuple[bytes, str]:
+        """Return the data to forward and why the stream failed, if it did."""
+        frames: list[bytes] = []
         for event in events:
-            verdict = self.order.classify(event.index)
-            if verdict is EventAction.DROP:
+            action = self.order.classify(event.index)
+            if action is EventAction.DROP:
                 continue
-            if verdict is EventAction.GAP:
-                return b''.join(chosen), f'event {event.index} came too early'
+            if action is EventAction.GAP:
+                return b''.join(frames), f'event {event.index} is out of order'
             if event.data == END_OF_STREAM:
                 if not self.transcript.finished:
-                    return b''.join(chosen), 'it ended without a finish reason'
+                    return b''.join(frames), 'the stream has no finish reason'
                 self.complete = True
-                chosen.append(_frame(END_OF_STREAM))
+                frames.append(_frame(END_OF_STREAM))
                 continue
             data = self.transcript.add_event(event)
             if data is not None:
-                chosen.append(_frame(data))
+                frames.append(_frame(data))
         self.usage = self.transcript.usage
-        return b''.join(chosen), ''
+        return b''.join(frames), ''
 
     async def _send(self, data: bytes) -> None:
         if not self._started:
