--- a/tests/nocover/test_engines.py
+++ b/tests/nocover/test_engines.py
@@ -10,7 +10,11 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""No answer relies on a dead engine, another workspace or older weights."""
+"""Requests to engines that restart, switch their weights, fail or leave.
+
+No answer may rely on a dead engine, on outdated weights or on the cache of
+another workspace.
+"""
 
 import concurrent.futures
 import time
@@ -61,7 +65,7 @@
         details = reply.json()['usage']['prompt_tokens_details']
         return details['cached_tokens']
 
-    def order(self, engine: str, version: str, fencing: int) -> Reply:
+    def send_order(self, engine: str, version: str, fencing: int) -> Reply:
         return request(
             self.deployment.addresses[engine],
             'POST',
@@ -105,7 +109,7 @@
         ]
         self.assertEqual([self.count_cached(item) for item in replies], [0, 0])
 
-    def test_engine_that_returns_empty_is_not_expected_to_hold(self) -> None:
+    def test_restarted_engine_is_expected_to_have_an_empty_cache(self) -> None:
         self.complete()
         self.complete()
         before = self.find_upstream(self.engine)['incarnation']
@@ -126,14 +130,17 @@
 
 
 class TestWeights(EngineTestCase):
-    """Engines that do not check fencing numbers: the test orders them."""
+    """Engines that do not check fencing numbers.
+
+    The test sends their load orders itself.
+    """
 
     ENGINES = 2
     CAN = ENGINE_CAN.replace('checks_fencing = true', 'checks_fencing = false')
     ARGUMENTS = ('--decode-seconds', '0.02')
 
-    def test_engine_with_older_weights_gets_no_work(self) -> None:
-        self.order(self.engine, 'v0', 1)
+    def test_engine_with_older_weights_gets_no_requests(self) -> None:
+        self.send_order(self.engine, 'v0', 1)
         wait_until(
             lambda: self.find_upstream(self.engine)['versions'][MODEL] == 'v0'
         )
@@ -145,16 +152,16 @@
         )
         self.assertEqual(counts.json()['requests'], 0)
 
-    def test_answer_from_other_weights_is_not_passed_on(self) -> None:
-        # The engine is switched after the router's last probe: only the
-        # answer itself can tell.
+    def test_answer_from_other_weights_is_not_forwarded(self) -> None:
+        # The engines switch after the router's last probe, so that only the
+        # answer itself shows the version of its weights.
         expected = self.complete().json()['choices'][0]['text']
         for name in self.deployment.list_engines():
-            self.order(name, 'v2', 1)
+            self.send_order(name, 'v2', 1)
         reply = self.complete()
         self.assertNotEqual(reply.status, 200)
         for name in self.deployment.list_engines():
-            self.order(name, 'v1', 2)
+            self.send_order(name, 'v1', 2)
 
         def is_back() -> bool:
             return self.complete().status == 200
@@ -165,7 +172,7 @@
         )
 
     def test_switch_under_load_mixes_no_weights(self) -> None:
-        # Each text is a function of the weights: it tells which one made it.
+        # The text depends on the weights, so it shows which version was used.
         prompts = [f'{number} {PROMPT}' for number in range(12)]
         old = [self.read_text(prompt) for prompt in prompts]
         with concurrent.futures.ThreadPoolExecutor(12) as pool:
@@ -173,10 +180,10 @@
                 pool.submit(self.complete, 'daily-token', prompt, 12)
                 for prompt in prompts
             ]
-            self.order(self.engine, 'v2', 1)
+            self.send_order(self.engine, 'v2', 1)
             self.deployment.configure([model('v2')])
             replies = [item.result() for item in running]
-        self.order('engine-bkk-silom-2', 'v2', 1)
+        self.send_order('engine-bkk-silom-2', 'v2', 1)
         wait_until(lambda: self.complete().status == 200)
         new = [self.read_text(prompt) for prompt in prompts]
         for number, reply in enumerate(replies):
@@ -187,7 +194,7 @@
             self.assertIn(text, (old[number], new[number]), number)
         self.assertNotEqual(old, new)
 
-    def test_stream_under_way_keeps_its_weights(self) -> None:
+    def test_pending_stream_keeps_its_weights(self) -> None:
         expected = self.read_text(PROMPT)
         client = openai.OpenAI(
             base_url=f'http://{self.deployment.router.callers}/v1',
@@ -204,7 +211,7 @@
             text += chunk.choices[0].text if chunk.choices else ''
             if number == 1:
                 for fencing, name in enumerate(self.deployment.list_engines()):
-                    self.order(name, 'v2', fencing + 1)
+                    self.send_order(name, 'v2', fencing + 1)
                 self.deployment.configure([model('v2')])
         self.assertEqual(text, expected)
         wait_until(lambda: self.complete().status == 200)
@@ -217,11 +224,11 @@
 
 
 class TestOrders(EngineTestCase):
-    """A confirmed switch of weights reaches the engines by itself."""
+    """After a confirmed switch of weights, the engines are ordered to load."""
 
     ENGINES = 2
 
-    def test_engines_load_what_the_configuration_names(self) -> None:
+    def test_engines_load_the_configured_version(self) -> None:
         self.complete()
         self.deployment.configure([model('v2')])
         wait_until(self.all_report_v2)
@@ -239,7 +246,7 @@
         }
         return versions == {'v2'}
 
-    def test_engine_that_comes_back_with_older_weights_loads_anew(
+    def test_engine_restarted_with_older_weights_loads_again(
         self,
     ) -> None:
         self.deployment.configure([model('v2')])
@@ -251,8 +258,11 @@
 
 
 class TestErrors(EngineTestCase):
-    def test_regression_engine_error_gives_its_connection_back(self) -> None:
-        # It was not given back, so each error cost a new connection.
+    def test_regression_connection_is_reused_after_an_engine_error(
+        self,
+    ) -> None:
+        # The connection was not returned to the pool after an error answer,
+        # so that each error opened a new one.
         self.complete()
         before = self.count_connections()
         for _ in range(20):
@@ -266,7 +276,7 @@
 
 
 class TestLeaving(EngineTestCase):
-    """An upstream that is leaving gets no new work after a few seconds."""
+    """A leaving upstream gets no new requests after a few seconds."""
 
     ENGINES = 2
 
@@ -276,7 +286,7 @@
         )
         return reply.json()['requests']
 
-    def check_no_new_work(self) -> None:
+    def check_no_new_requests(self) -> None:
         wait_until(lambda: self.find_upstream(self.engine)['leaving'])
         before = self.count_requests()
         for number in range(20):
@@ -284,32 +294,32 @@
             self.assertEqual(reply.status, 200)
         self.assertEqual(self.count_requests(), before)
 
-    def test_by_the_vm_list(self) -> None:
+    def test_vm_marked_as_leaving(self) -> None:
         self.deployment.set_vms(**{f'vm-{self.engine}': 'leaving'})
         started = time.monotonic()
-        self.check_no_new_work()
-        print(f'left out {time.monotonic() - started:.2f} s after the list')
+        self.check_no_new_requests()
+        print(f'excluded {time.monotonic() - started:.2f} s after the list')
 
-    def test_by_its_vm_going_from_the_list(self) -> None:
+    def test_vm_removed_from_the_list(self) -> None:
         self.deployment.set_vms(**{f'vm-{self.engine}': 'live'})
         time.sleep(0.8)
         self.deployment.set_vms()
-        self.check_no_new_work()
+        self.check_no_new_requests()
 
-    def test_by_its_own_report(self) -> None:
+    def test_report_of_draining(self) -> None:
         address = self.deployment.addresses[self.engine]
         request(address, 'POST', '/lifttrestle/drain', content={})
-        self.check_no_new_work()
+        self.check_no_new_requests()
 
-    def test_by_its_refusals(self) -> None:
-        # With probes too rare to tell, the first refusal does.
+    def test_refusal_while_draining(self) -> None:
+        # The first refusal excludes the engine, even before a probe does.
         address = self.deployment.addresses[self.engine]
         request(address, 'POST', '/lifttrestle/drain', content={})
         for number in range(10):
             reply = self.complete(prompt=f'{number} {PROMPT}')
             self.assertEqual(reply.status, 200)
 
-    def test_crashed_engine_costs_no_request(self) -> None:
+    def test_crashed_engine_fails_no_request(self) -> None:
         with concurrent.futures.ThreadPoolExecutor(8) as pool:
             running = [
                 pool.submit(
--- a/tests/nocover/test_streams.py
+++ b/tests/nocover/test_streams.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Every stream is whole and in order, or plainly broken."""
+"""Every stream is complete and in order, or ends with an error."""
 
 import http.client
 import json
@@ -36,7 +36,7 @@
 
 
 class StreamTestCase(unittest.TestCase):
-    """Helpers over a deployment that the subclass starts."""
+    """Helper methods for a deployment that the subclass starts."""
 
     deployment: Deployment
 
@@ -49,7 +49,7 @@
         self.addCleanup(client.close)
         return client
 
-    def ask(self, question: str, **fields: object) -> openai.Stream:
+    def open_stream(self, question: str, **fields: object) -> openai.Stream:
         return self.make_client().chat.completions.create(
             model=MODEL,
             messages=make_messages(question),
@@ -58,12 +58,12 @@
             **fields,
         )
 
-    def read(self, question: str) -> str:
-        """Return the text of a stream, checking its end and its frame."""
+    def read_stream(self, question: str) -> str:
+        """Return the text of a stream and check its end and its chunk ids."""
         text = ''
         ids = set()
         finish = None
-        for chunk in self.ask(question):
+        for chunk in self.open_stream(question):
             ids.add(chunk.id)
             for choice in chunk.choices:
                 text += choice.delta.content or ''
@@ -75,7 +75,7 @@
     def read_with_decision(self, question: str) -> tuple[str, str]:
         """Return a stream's text and its first decision, once logged."""
         before = len(self.list_decisions())
-        text = self.read(question)
+        text = self.read_stream(question)
         wait_until(lambda: self.list_decisions()[before:])
         return text, self.list_decisions()[before]
 
@@ -83,16 +83,16 @@
         lines = self.deployment.router.process.lines
         return [line for line in lines if 'routing:' in line]
 
-    def set_all(self, **faults: object) -> None:
+    def set_engine_faults(self, **faults: object) -> None:
         for name in self.deployment.list_engines():
             self.deployment.set_faults(name, **faults)
 
     def tearDown(self) -> None:
-        self.set_all()
+        self.set_engine_faults()
 
 
 class TestResumedStreams(StreamTestCase):
-    """Engines that keep a stream for a while and number its events."""
+    """Engines that number their events and can resume a recent stream."""
 
     @classmethod
     def setUpClass(cls) -> None:
@@ -109,60 +109,60 @@
     def test_cut_at_any_token_loses_and_repeats_nothing(self) -> None:
         for index in (0, 1, TOKENS // 2, LAST, LAST + 1, LAST + 2, LAST + 3):
             question = f'cut at {index}?'
-            expected = self.read(question)
-            self.set_all(cut_at_token=index)
-            self.assertEqual(self.read(question), expected, index)
-            self.set_all()
+            expected = self.read_stream(question)
+            self.set_engine_faults(cut_at_token=index)
+            self.assertEqual(self.read_stream(question), expected, index)
+            self.set_engine_faults()
 
     def test_duplicate_event_is_dropped(self) -> None:
-        expected = self.read('duplicate?')
-        self.set_all(duplicate_token=5)
-        self.assertEqual(self.read('duplicate?'), expected)
+        expected = self.read_stream('duplicate?')
+        self.set_engine_faults(duplicate_token=5)
+        self.assertEqual(self.read_stream('duplicate?'), expected)
 
-    def test_missing_event_is_asked_for_again(self) -> None:
-        expected = self.read('missing?')
-        self.set_all(skip_token=7)
-        self.assertEqual(self.read('missing?'), expected)
+    def test_missing_event_is_requested_again(self) -> None:
+        expected = self.read_stream('missing?')
+        self.set_engine_faults(skip_token=7)
+        self.assertEqual(self.read_stream('missing?'), expected)
 
-    def test_stream_cut_again_and_again_fails_plainly(self) -> None:
-        self.set_all(cut_at_token=3, cut_streams=1000)
+    def test_stream_cut_repeatedly_ends_with_an_error(self) -> None:
+        self.set_engine_faults(cut_at_token=3, cut_streams=1000)
         with self.assertRaises(openai.APIError):
-            for _ in self.ask('always cut?'):
+            for _ in self.open_stream('always cut?'):
                 pass
 
-    def test_answer_for_another_request_is_not_passed_on(self) -> None:
+    def test_answer_for_another_request_is_not_forwarded(self) -> None:
         expected, _ = self.read_with_decision('crossed?')
-        self.set_all(wrong_request_ids=1)
+        self.set_engine_faults(wrong_request_ids=1)
         text, decision = self.read_with_decision('crossed?')
         self.assertEqual(text, expected)
         self.assertIn("answered request 'another-request'", decision)
 
     def test_stream_that_ends_early_under_a_200_is_resumed(self) -> None:
         expected, _ = self.read_with_decision('early?')
-        self.set_all(end_at_token=6)
+        self.set_engine_faults(end_at_token=6)
         text, decision = self.read_with_decision('early?')
         self.assertEqual(text, expected)
         self.assertIn('resumed', decision)
 
     def test_stalled_stream_is_resumed(self) -> None:
         expected, _ = self.read_with_decision('stalled?')
-        self.set_all(stall_at_token=4)
+        self.set_engine_faults(stall_at_token=4)
         text, decision = self.read_with_decision('stalled?')
         self.assertEqual(text, expected)
         self.assertIn('resumed', decision)
 
-    def test_cut_whole_answer_is_asked_for_again(self) -> None:
-        expected = self.read_whole()
+    def test_cut_unstreamed_answer_is_requested_again(self) -> None:
+        expected = self.read_answer()
         for fault in ('truncate_answers', 'halve_answers'):
-            self.set_all(**{fault: 1})
+            self.set_engine_faults(**{fault: 1})
             before = len(self.list_decisions())
-            self.assertEqual(self.read_whole(), expected)
+            self.assertEqual(self.read_answer(), expected)
             wait_until(lambda: len(self.list_decisions()) > before + 1)
             self.assertNotIn(
                 'outcome="complete"', self.list_decisions()[before]
             )
 
-    def read_whole(self) -> str:
+    def read_answer(self) -> str:
         before = len(self.list_decisions())
         answer = self.make_client().chat.completions.create(
             model=MODEL, messages=make_messages('cut?'), max_tokens=9
@@ -170,7 +170,7 @@
         wait_until(lambda: self.list_decisions()[before:])
         return answer.choices[0].message.content
 
-    def test_caller_that_leaves_ends_the_generation(self) -> None:
+    def test_caller_that_disconnects_ends_the_generation(self) -> None:
         connection = http.client.HTTPConnection(
             self.deployment.router.callers, timeout=10
         )
@@ -194,7 +194,7 @@
 
 
 class TestContinuedStreams(StreamTestCase):
-    """Engines that can't resume: another replica goes on with the text."""
+    """Engines that cannot resume: another replica continues the text."""
 
     @classmethod
     def setUpClass(cls) -> None:
@@ -204,45 +204,46 @@
                 'resumes_streams = true', 'resumes_streams = false'
             ),
             engine_arguments=('--decode-seconds', '0.02'),
-            # So many cuts in so few requests would spend the usual budget.
+            # The default retry budget does not cover so many cuts in so few
+            # requests.
             extra='admission = { retry_share = 2.0 }',
         )
         cls.enterClassContext(cls.deployment)
         cls.deployment.configure_usual()
 
     def test_cut_at_any_token_loses_and_repeats_nothing(self) -> None:
-        # Each engine cuts once, so that a continuation is cut as well.
+        # Each engine cuts one stream, so that a continuation is cut as well.
         for index in (0, 1, TOKENS // 2, LAST, LAST + 1):
             question = f'cut at {index}?'
             expected, _ = self.read_with_decision(question)
-            self.set_all(cut_at_token=index)
+            self.set_engine_faults(cut_at_token=index)
             text, decision = self.read_with_decision(question)
             self.assertEqual(text, expected, index)
             self.assertIn('broke off', decision, index)
-            self.set_all()
+            self.set_engine_faults()
 
-    def find_busy(self) -> str:
-        """Return the engine that serves a request now."""
+    def find_busy_engine(self) -> str:
+        """Return an engine that has a request in flight."""
         upstreams = self.deployment.router.status()['upstreams']
         return next(item['name'] for item in upstreams if item['in_flight'])
 
-    def test_usage_counts_the_whole_answer(self) -> None:
-        self.set_all(cut_at_token=10)
+    def test_usage_counts_the_complete_answer(self) -> None:
+        self.set_engine_faults(cut_at_token=10)
         options = {'include_usage': True}
         usage = None
-        for chunk in self.ask('usage?', stream_options=options):
+        for chunk in self.open_stream('usage?', stream_options=options):
             usage = chunk.usage or usage
         self.assertEqual(usage.completion_tokens, TOKENS)
 
-    def test_killed_engine_costs_no_stream(self) -> None:
+    def test_killed_engine_breaks_no_stream(self) -> None:
         for kill_at in (0, TOKENS // 2, LAST - 1):
             question = f'killed at {kill_at}?'
-            expected = self.read(question)
+            expected = self.read_stream(question)
             text = ''
             killed = ''
-            for number, chunk in enumerate(self.ask(question)):
+            for number, chunk in enumerate(self.open_stream(question)):
                 if number == kill_at:
-                    killed = self.find_busy()
+                    killed = self.find_busy_engine()
                     self.deployment.standins[killed].kill()
                 for choice in chunk.choices:
                     text += choice.delta.content or ''
