--- a/src/lifttrestle/internal/fleet/crashes/holds.py
+++ b/src/lifttrestle/internal/fleet/crashes/holds.py
@@ -34,8 +34,8 @@
 from lifttrestle.internal.fleet.crashes.held_row import HELD_PREFIX
 from lifttrestle.internal.fleet.crashes.held_row import HeldRow
 from lifttrestle.internal.fleet.crashes.held_row import parse_key
-from lifttrestle.internal.fleet.crashes.judgement import choose_evicted
-from lifttrestle.internal.fleet.crashes.judgement import HOLD_SECONDS
+from lifttrestle.internal.fleet.crashes.hold_rules import choose_evicted
+from lifttrestle.internal.fleet.crashes.hold_rules import HOLD_SECONDS
 from lifttrestle.internal.fleet.state.roster import FLEET_TABLE
 from lifttrestle.internal.fleet.state.row_version import get_epoch
 from lifttrestle.internal.fleet.state.rows import NO_ROW
--- a/src/lifttrestle/internal/fleet/crashes/ledger.py
+++ b/src/lifttrestle/internal/fleet/crashes/ledger.py
@@ -20,8 +20,8 @@
 import dataclasses
 
 from lifttrestle.internal.clock.clock import Clock
-from lifttrestle.internal.fleet.crashes.judgement import HOLD_SECONDS
-from lifttrestle.internal.fleet.crashes.judgement import is_dangerous
+from lifttrestle.internal.fleet.crashes.hold_rules import HOLD_SECONDS
+from lifttrestle.internal.fleet.crashes.hold_rules import is_dangerous
 from lifttrestle.internal.fleet.crashes.messages import CrashItem
 
 # Maximum number of records, about 500 bytes each. A crashed engine runs about
--- a/src/lifttrestle/internal/fleet/crashes/tracker.py
+++ b/src/lifttrestle/internal/fleet/crashes/tracker.py
@@ -19,11 +19,11 @@
 from lifttrestle.internal.clock.ticker import Ticker
 from lifttrestle.internal.fleet.crashes.held_row import format_digest
 from lifttrestle.internal.fleet.crashes.held_row import HeldRow
+from lifttrestle.internal.fleet.crashes.hold_rules import CRASH_LIMIT
+from lifttrestle.internal.fleet.crashes.hold_rules import may_try_again
 from lifttrestle.internal.fleet.crashes.holds import build_held_row
 from lifttrestle.internal.fleet.crashes.holds import HoldRows
 from lifttrestle.internal.fleet.crashes.holds import MAX_HELD
-from lifttrestle.internal.fleet.crashes.judgement import CRASH_LIMIT
-from lifttrestle.internal.fleet.crashes.judgement import may_try_again
 from lifttrestle.internal.fleet.crashes.ledger import CrashLedger
 from lifttrestle.internal.fleet.crashes.loss_watch import LossWatch
 from lifttrestle.internal.fleet.crashes.messages import CrashUpdate
--- a/tests/cover/test_crash_ledger.py
+++ b/tests/cover/test_crash_ledger.py
@@ -20,16 +20,16 @@
 from hypothesis import strategies as st
 
 from lifttrestle.internal.clock.manual import ManualClock
-from lifttrestle.internal.fleet.crashes.judgement import choose_evicted
-from lifttrestle.internal.fleet.crashes.judgement import CRASH_LIMIT
-from lifttrestle.internal.fleet.crashes.judgement import EARLY_TRIAL_SECONDS
-from lifttrestle.internal.fleet.crashes.judgement import EPISODE_SECONDS
-from lifttrestle.internal.fleet.crashes.judgement import HOLD_SECONDS
-from lifttrestle.internal.fleet.crashes.judgement import is_dangerous
-from lifttrestle.internal.fleet.crashes.judgement import LAST_TRIAL_SECONDS
-from lifttrestle.internal.fleet.crashes.judgement import may_try_again
-from lifttrestle.internal.fleet.crashes.judgement import TRIAL_REFUSALS
-from lifttrestle.internal.fleet.crashes.judgement import TRIAL_SECONDS
+from lifttrestle.internal.fleet.crashes.hold_rules import choose_evicted
+from lifttrestle.internal.fleet.crashes.hold_rules import CRASH_LIMIT
+from lifttrestle.internal.fleet.crashes.hold_rules import EARLY_TRIAL_SECONDS
+from lifttrestle.internal.fleet.crashes.hold_rules import EPISODE_SECONDS
+from lifttrestle.internal.fleet.crashes.hold_rules import HOLD_SECONDS
+from lifttrestle.internal.fleet.crashes.hold_rules import is_dangerous
+from lifttrestle.internal.fleet.crashes.hold_rules import LAST_TRIAL_SECONDS
+from lifttrestle.internal.fleet.crashes.hold_rules import may_try_again
+from lifttrestle.internal.fleet.crashes.hold_rules import TRIAL_REFUSALS
+from lifttrestle.internal.fleet.crashes.hold_rules import TRIAL_SECONDS
 from lifttrestle.internal.fleet.crashes.ledger import CrashLedger
 from lifttrestle.internal.fleet.crashes.ledger import MAX_RECORDS
 from lifttrestle.internal.fleet.crashes.messages import CrashItem
--- a/tests/cover/test_crash_memory.py
+++ b/tests/cover/test_crash_memory.py
@@ -16,9 +16,9 @@
 import unittest
 
 from lifttrestle.internal.fleet.crashes.held_row import build_key
+from lifttrestle.internal.fleet.crashes.hold_rules import HOLD_SECONDS
 from lifttrestle.internal.fleet.crashes.holds import build_held_row
 from lifttrestle.internal.fleet.crashes.holds import MAX_HELD
-from lifttrestle.internal.fleet.crashes.judgement import HOLD_SECONDS
 from lifttrestle.internal.fleet.crashes.messages import CrashItem
 from lifttrestle.internal.fleet.crashes.messages import CrashUpdate
 from lifttrestle.internal.fleet.crashes.replicator import MAX_ITEMS
--- a/tests/nocover/test_crashing_requests.py
+++ b/tests/nocover/test_crashing_requests.py
@@ -29,8 +29,8 @@
 import unittest
 from unittest import mock
 
+from lifttrestle.internal.fleet.crashes.hold_rules import TRIAL_SECONDS
 from lifttrestle.internal.fleet.crashes.holds import HoldRows
-from lifttrestle.internal.fleet.crashes.judgement import TRIAL_SECONDS
 from lifttrestle.internal.fleet.state.roster import FLEET_TABLE
 from tests.support.crashing_upstream import CrashingUpstream
 from tests.support.crashing_upstream import FATAL
