--- a/src/lifttrestle/internal/fleet/gauges.py
+++ b/src/lifttrestle/internal/fleet/gauges.py
@@ -17,7 +17,7 @@
 import functools
 
 from lifttrestle.internal.fleet.crashes.tracker import CrashTracker
-from lifttrestle.internal.fleet.limits.memory import UpstreamLimits
+from lifttrestle.internal.fleet.limits.upstream_limits import UpstreamLimits
 from lifttrestle.internal.fleet.state.directory import UpstreamDirectory
 from lifttrestle.internal.fleet.state.relay_follower import RelayFollower
 from lifttrestle.internal.fleet.state.relay_server import RelayServer
--- a/src/lifttrestle/internal/fleet/parts.py
+++ b/src/lifttrestle/internal/fleet/parts.py
@@ -19,7 +19,7 @@
 
 from lifttrestle.internal.clock.clock import Clock
 from lifttrestle.internal.fleet.crashes.tracker import CrashTracker
-from lifttrestle.internal.fleet.limits.memory import UpstreamLimits
+from lifttrestle.internal.fleet.limits.upstream_limits import UpstreamLimits
 from lifttrestle.internal.fleet.path.dialect import RequestDialect
 from lifttrestle.internal.fleet.policy.cache_sources import CacheSources
 from lifttrestle.internal.fleet.policy.retry_budget import SharedRetryBudget
--- a/src/lifttrestle/internal/fleet/path/handlers.py
+++ b/src/lifttrestle/internal/fleet/path/handlers.py
@@ -20,7 +20,7 @@
 from lifttrestle.errors import RequestRefused
 from lifttrestle.internal.clock.clock import Clock
 from lifttrestle.internal.fleet.limits.listing import list_limits
-from lifttrestle.internal.fleet.limits.memory import UpstreamLimits
+from lifttrestle.internal.fleet.limits.upstream_limits import UpstreamLimits
 from lifttrestle.internal.fleet.parts import FleetParts
 from lifttrestle.internal.fleet.path.exchange import FleetExchange
 from lifttrestle.internal.fleet.policy.admission import is_fresh
--- a/src/lifttrestle/internal/fleet/process.py
+++ b/src/lifttrestle/internal/fleet/process.py
@@ -28,7 +28,7 @@
 from lifttrestle.internal.fleet.crashes.tracker import CrashTracker
 from lifttrestle.internal.fleet.gauges import GaugeSources
 from lifttrestle.internal.fleet.gauges import register_gauges
-from lifttrestle.internal.fleet.limits.memory import UpstreamLimits
+from lifttrestle.internal.fleet.limits.upstream_limits import UpstreamLimits
 from lifttrestle.internal.fleet.loads.engine_control import EngineControl
 from lifttrestle.internal.fleet.loads.weights_loader import WeightsLoader
 from lifttrestle.internal.fleet.parts import FleetParts
--- a/tests/support/limit_simulation.py
+++ b/tests/support/limit_simulation.py
@@ -32,7 +32,7 @@
 
 from lifttrestle.internal.clock.manual import ManualClock
 from lifttrestle.internal.clock.ticker import Ticker
-from lifttrestle.internal.fleet.limits.memory import UpstreamLimits
+from lifttrestle.internal.fleet.limits.upstream_limits import UpstreamLimits
 from lifttrestle.internal.fleet.policy.known_limit import ReportedLimit
 from lifttrestle.internal.fleet.policy.limit_permits import rank_request
 from lifttrestle.internal.fleet.state.directory import UpstreamDirectory
