--- a/src/lifttrestle/internal/fleet/state/load_ledger.py
+++ b/src/lifttrestle/internal/fleet/state/load_ledger.py
@@ -16,7 +16,7 @@
 import dataclasses
 
 from lifttrestle.internal.clock.clock import Clock
-from lifttrestle.internal.fleet.policy.tell_pacing import REPORT_SECONDS
+from lifttrestle.internal.fleet.policy.report_pacing import REPORT_SECONDS
 from lifttrestle.internal.fleet.state.directory import UpstreamDirectory
 from lifttrestle.internal.fleet.state.load_messages import UpstreamLoad
 
--- a/src/lifttrestle/internal/fleet/state/peer_loads.py
+++ b/src/lifttrestle/internal/fleet/state/peer_loads.py
@@ -25,8 +25,8 @@
 
 from lifttrestle.internal.clock.clock import Clock
 from lifttrestle.internal.fleet.policy.load_paths import uses_aggregation
-from lifttrestle.internal.fleet.policy.tell_pacing import MAX_QUERY_RATE
-from lifttrestle.internal.fleet.policy.tell_pacing import ReportPacer
+from lifttrestle.internal.fleet.policy.report_pacing import MAX_QUERY_RATE
+from lifttrestle.internal.fleet.policy.report_pacing import ReportPacer
 from lifttrestle.internal.fleet.settings import Promises
 from lifttrestle.internal.fleet.state.aggregator_choice import AggregatorChoice
 from lifttrestle.internal.fleet.state.catalogue import Workspace
--- a/tests/cover/test_load_sums.py
+++ b/tests/cover/test_load_sums.py
@@ -23,9 +23,9 @@
 from lifttrestle.internal.clock.manual import ManualClock
 from lifttrestle.internal.fleet.policy.load_paths import choose_aggregator
 from lifttrestle.internal.fleet.policy.load_paths import MAX_DIRECT_ROUTERS
-from lifttrestle.internal.fleet.policy.tell_pacing import BURST
-from lifttrestle.internal.fleet.policy.tell_pacing import MAX_QUERY_RATE
-from lifttrestle.internal.fleet.policy.tell_pacing import MAX_REPORT_RATE
+from lifttrestle.internal.fleet.policy.report_pacing import BURST
+from lifttrestle.internal.fleet.policy.report_pacing import MAX_QUERY_RATE
+from lifttrestle.internal.fleet.policy.report_pacing import MAX_REPORT_RATE
 from lifttrestle.internal.fleet.policy.usage_caps import UsageCap
 from lifttrestle.internal.fleet.policy.usage_caps import UsageUnit
 from lifttrestle.internal.fleet.settings import Promises
--- a/tests/cover/test_peer_loads.py
+++ b/tests/cover/test_peer_loads.py
@@ -21,9 +21,9 @@
 
 from lifttrestle.internal.clock.manual import ManualClock
 from lifttrestle.internal.fleet.path.dialect import PromptPart
-from lifttrestle.internal.fleet.policy.tell_pacing import BURST
-from lifttrestle.internal.fleet.policy.tell_pacing import MAX_REPORT_RATE
-from lifttrestle.internal.fleet.policy.tell_pacing import ReportPacer
+from lifttrestle.internal.fleet.policy.report_pacing import BURST
+from lifttrestle.internal.fleet.policy.report_pacing import MAX_REPORT_RATE
+from lifttrestle.internal.fleet.policy.report_pacing import ReportPacer
 from lifttrestle.internal.fleet.state.directory import UpstreamDirectory
 from lifttrestle.internal.fleet.state.load_messages import LoadReport
 from lifttrestle.internal.fleet.state.load_messages import UpstreamLoad
--- a/tests/support/load_simulation.py
+++ b/tests/support/load_simulation.py
@@ -36,8 +36,8 @@
 from lifttrestle.internal.fleet.policy.engine_costs import PlacementContext
 from lifttrestle.internal.fleet.policy.placement import choose_engine
 from lifttrestle.internal.fleet.policy.placement import Placement
+from lifttrestle.internal.fleet.policy.report_pacing import REPORT_SECONDS
 from lifttrestle.internal.fleet.policy.shedding import decide_shedding
-from lifttrestle.internal.fleet.policy.tell_pacing import REPORT_SECONDS
 from lifttrestle.internal.fleet.state.directory import UpstreamDirectory
 from lifttrestle.internal.fleet.state.engine_pace import EnginePace
 from lifttrestle.internal.fleet.state.engine_pace import FIRST_STEP_SECONDS
