--- a/tests/cover/test_decisions.py
+++ b/tests/cover/test_decisions.py
@@ -14,15 +14,15 @@
 
 import unittest
 
-from lifttrestle.internal.fleet.policy.load_pacing import count_loadable
-from lifttrestle.internal.fleet.policy.load_pacing import find_takeover_time
-from lifttrestle.internal.fleet.policy.load_pacing import LeaseState
-from lifttrestle.internal.fleet.policy.load_pacing import list_engines
-from lifttrestle.internal.fleet.policy.load_pacing import list_outdated
 from lifttrestle.internal.fleet.policy.shedding import decide_shedding
 from lifttrestle.internal.fleet.policy.shedding import find_hold_end
 from lifttrestle.internal.fleet.policy.shedding import MAX_RETRY_SECONDS
 from lifttrestle.internal.fleet.policy.shedding import MIN_RETRY_SECONDS
+from lifttrestle.internal.fleet.policy.weight_loading import count_loadable
+from lifttrestle.internal.fleet.policy.weight_loading import find_takeover_time
+from lifttrestle.internal.fleet.policy.weight_loading import LeaseState
+from lifttrestle.internal.fleet.policy.weight_loading import list_engines
+from lifttrestle.internal.fleet.policy.weight_loading import list_outdated
 from lifttrestle.internal.fleet.policy.weights_fit import select_engines
 from lifttrestle.internal.fleet.state.operator_view import TargetWeightsHistory
 from tests.support.directories import DirectoryCase
--- a/tests/cover/test_fleet_weights.py
+++ b/tests/cover/test_fleet_weights.py
@@ -32,7 +32,7 @@
 from lifttrestle.internal.fleet.loads.engine_control import OrderOutcome
 from lifttrestle.internal.fleet.loads.load_tracking import LoadTracker
 from lifttrestle.internal.fleet.loads.weights_loader import WeightsLoader
-from lifttrestle.internal.fleet.policy.load_pacing import list_outdated
+from lifttrestle.internal.fleet.policy.weight_loading import list_outdated
 from lifttrestle.internal.fleet.settings import Promises
 from lifttrestle.internal.fleet.state.directory import UpstreamDirectory
 from lifttrestle.internal.fleet.state.operator_view import OperatorView
