--- a/src/lifttrestle/internal/fleet/state/aggregator_choice.py
+++ b/src/lifttrestle/internal/fleet/state/aggregator_choice.py
@@ -13,8 +13,8 @@
 """Selects the aggregators of loads from the view of one router."""
 
 from lifttrestle.internal.clock.clock import Clock
-from lifttrestle.internal.fleet.policy.load_paths import choose_aggregator
-from lifttrestle.internal.fleet.policy.load_paths import list_aggregators
+from lifttrestle.internal.fleet.policy.load_exchange import choose_aggregator
+from lifttrestle.internal.fleet.policy.load_exchange import list_aggregators
 from lifttrestle.internal.fleet.state.roster import Roster
 from lifttrestle.internal.telemetry.event_log import get_event_log
 
--- a/src/lifttrestle/internal/fleet/state/peer_loads.py
+++ b/src/lifttrestle/internal/fleet/state/peer_loads.py
@@ -24,7 +24,7 @@
 import asyncio
 
 from lifttrestle.internal.clock.clock import Clock
-from lifttrestle.internal.fleet.policy.load_paths import uses_aggregation
+from lifttrestle.internal.fleet.policy.load_exchange import uses_aggregation
 from lifttrestle.internal.fleet.policy.report_pacing import MAX_QUERY_RATE
 from lifttrestle.internal.fleet.policy.report_pacing import ReportPacer
 from lifttrestle.internal.fleet.settings import Promises
--- a/src/lifttrestle/internal/fleet/usage/roles.py
+++ b/src/lifttrestle/internal/fleet/usage/roles.py
@@ -12,7 +12,7 @@
 
 """Determines whether this router aggregates usage or uses an aggregator."""
 
-from lifttrestle.internal.fleet.policy.load_paths import uses_aggregation
+from lifttrestle.internal.fleet.policy.load_exchange import uses_aggregation
 from lifttrestle.internal.fleet.state.aggregator_choice import AggregatorChoice
 from lifttrestle.internal.fleet.state.roster import Roster
 from lifttrestle.internal.fleet.usage.ledger import UsageLedger
--- a/tests/cover/test_load_sums.py
+++ b/tests/cover/test_load_sums.py
@@ -21,8 +21,8 @@
 import msgspec
 
 from lifttrestle.internal.clock.manual import ManualClock
-from lifttrestle.internal.fleet.policy.load_paths import choose_aggregator
-from lifttrestle.internal.fleet.policy.load_paths import MAX_DIRECT_ROUTERS
+from lifttrestle.internal.fleet.policy.load_exchange import choose_aggregator
+from lifttrestle.internal.fleet.policy.load_exchange import MAX_DIRECT_ROUTERS
 from lifttrestle.internal.fleet.policy.report_pacing import BURST
 from lifttrestle.internal.fleet.policy.report_pacing import MAX_QUERY_RATE
 from lifttrestle.internal.fleet.policy.report_pacing import MAX_REPORT_RATE
