--- a/src/lifttrestle/internal/fleet/path/candidates.py
+++ b/src/lifttrestle/internal/fleet/path/candidates.py
@@ -22,7 +22,7 @@
 from lifttrestle.internal.fleet.policy.placement import choose_engine
 from lifttrestle.internal.fleet.policy.placement import choose_plain
 from lifttrestle.internal.fleet.policy.placement import Placement
-from lifttrestle.internal.fleet.policy.weights_fit import select_engines
+from lifttrestle.internal.fleet.policy.weights_filter import select_engines
 from lifttrestle.internal.fleet.state.upstream import FleetUpstream
 
 FOREVER = float('inf')
--- a/src/lifttrestle/internal/fleet/process.py
+++ b/src/lifttrestle/internal/fleet/process.py
@@ -39,7 +39,7 @@
 from lifttrestle.internal.fleet.policy.cache_sources import CacheSources
 from lifttrestle.internal.fleet.policy.retry_budget import SharedRetryBudget
 from lifttrestle.internal.fleet.policy.usage_caps import UsageCap
-from lifttrestle.internal.fleet.policy.weights_fit import OLD_WEIGHTS_SHARE
+from lifttrestle.internal.fleet.policy.weights_filter import OLD_WEIGHTS_SHARE
 from lifttrestle.internal.fleet.settings import FleetSettings
 from lifttrestle.internal.fleet.stall_watch import watch_stalls
 from lifttrestle.internal.fleet.state.cache_stores import CacheStores
--- a/tests/cover/test_decisions.py
+++ b/tests/cover/test_decisions.py
@@ -23,7 +23,7 @@
 from lifttrestle.internal.fleet.policy.weight_loading import LeaseState
 from lifttrestle.internal.fleet.policy.weight_loading import list_engines
 from lifttrestle.internal.fleet.policy.weight_loading import list_outdated
-from lifttrestle.internal.fleet.policy.weights_fit import select_engines
+from lifttrestle.internal.fleet.policy.weights_filter import select_engines
 from lifttrestle.internal.fleet.state.operator_view import TargetWeightsHistory
 from tests.support.directories import DirectoryCase
 
