--- a/tests/nocover/test_crash_soak.py
+++ b/tests/nocover/test_crash_soak.py
@@ -31,8 +31,8 @@
 import sys
 import unittest
 
-from tests.support.crash_play import CrashOutcome
-from tests.support.crash_play import play
+from tests.support.crash_soak import CrashOutcome
+from tests.support.crash_soak import play
 from tests.support.router_play import play_by_hand
 
 # With seed 10 every upstream crashes under other requests in the first 0.6 s,
