--- a/src/lifttrestle/internal/fleet/crashes/hold_rules.py
+++ b/src/lifttrestle/internal/fleet/crashes/hold_rules.py
@@ -77,7 +77,7 @@
     return count
 
 
-def may_try_again(held_seconds: float, *, refusals: int, trials: int) -> bool:
+def allows_trial(held_seconds: float, *, refusals: int, trials: int) -> bool:
     """Return whether a held request may have a trial run.
 
     :param refusals: number of its refusals at this router during the hold.
--- a/src/lifttrestle/internal/fleet/crashes/tracker.py
+++ b/src/lifttrestle/internal/fleet/crashes/tracker.py
@@ -19,8 +19,8 @@
 from lifttrestle.internal.clock.ticker import Ticker
 from lifttrestle.internal.fleet.crashes.held_row import format_digest
 from lifttrestle.internal.fleet.crashes.held_row import HeldRow
+from lifttrestle.internal.fleet.crashes.hold_rules import allows_trial
 from lifttrestle.internal.fleet.crashes.hold_rules import CRASH_LIMIT
-from lifttrestle.internal.fleet.crashes.hold_rules import may_try_again
 from lifttrestle.internal.fleet.crashes.holds import build_held_row
 from lifttrestle.internal.fleet.crashes.holds import HoldRows
 from lifttrestle.internal.fleet.crashes.holds import MAX_HELD
@@ -126,10 +126,10 @@
             digest, unconfirmed
         )
 
-    def may_try(self, digest: int) -> bool:
+    def may_run_trial(self, digest: int) -> bool:
         """Return whether a held request may have a trial run."""
         hold = self.holds.get(digest)
-        return hold is not None and may_try_again(
+        return hold is not None and allows_trial(
             self.holds.get_age(hold),
             refusals=self._refusals.get(digest, 0),
             trials=hold.row.trials,
@@ -143,7 +143,7 @@
     async def claim_trial(self, digest: int) -> bool:
         """Claim a trial run of a held request; return whether granted."""
         hold = self.holds.get(digest)
-        if hold is None or not self.may_try(digest):
+        if hold is None or not self.may_run_trial(digest):
             return False
         return await self.holds.claim_trial(digest, hold)
 
--- a/src/lifttrestle/internal/fleet/path/request_context.py
+++ b/src/lifttrestle/internal/fleet/path/request_context.py
@@ -135,7 +135,7 @@
         crashes = self.parts.crashes
         if self.on_trial or not crashes.is_held(self.digest):
             return
-        if self.sends or not crashes.may_try(self.digest):
+        if self.sends or not crashes.may_run_trial(self.digest):
             raise self._make_held_refusal()
 
     async def check_held_before_send(self) -> None:
--- a/tests/cover/test_crash_ledger.py
+++ b/tests/cover/test_crash_ledger.py
@@ -20,6 +20,7 @@
 from hypothesis import strategies as st
 
 from lifttrestle.internal.clock.manual import ManualClock
+from lifttrestle.internal.fleet.crashes.hold_rules import allows_trial
 from lifttrestle.internal.fleet.crashes.hold_rules import choose_evicted
 from lifttrestle.internal.fleet.crashes.hold_rules import CRASH_LIMIT
 from lifttrestle.internal.fleet.crashes.hold_rules import EARLY_TRIAL_SECONDS
@@ -27,7 +28,6 @@
 from lifttrestle.internal.fleet.crashes.hold_rules import HOLD_SECONDS
 from lifttrestle.internal.fleet.crashes.hold_rules import is_dangerous
 from lifttrestle.internal.fleet.crashes.hold_rules import LAST_TRIAL_SECONDS
-from lifttrestle.internal.fleet.crashes.hold_rules import may_try_again
 from lifttrestle.internal.fleet.crashes.hold_rules import TRIAL_REFUSALS
 from lifttrestle.internal.fleet.crashes.hold_rules import TRIAL_SECONDS
 from lifttrestle.internal.fleet.crashes.ledger import CrashLedger
@@ -74,9 +74,7 @@
             (HOLD_SECONDS, 1000, 2, False),
         ):
             with self.subTest(seconds=seconds, trials=trials):
-                found = may_try_again(
-                    seconds, refusals=refusals, trials=trials
-                )
+                found = allows_trial(seconds, refusals=refusals, trials=trials)
                 self.assertIs(found, allowed)
 
     def test_evicts_from_the_workspace_with_most_holds(self):
