--- a/src/lifttrestle/internal/fleet/path/candidates.py
+++ b/src/lifttrestle/internal/fleet/path/candidates.py
@@ -72,7 +72,7 @@
         context = PlacementContext(
             now=parts.clock.monotonic(),
             data_centre=parts.settings.data_centre,
-            wanted_version=wanted.version if wanted is not None else 0,
+            target_version=wanted.version if wanted is not None else 0,
             urgency=get_urgency(admitted),
             slots=_get_slots(admitted, service),
             read_seconds=parts.get_pace(service).read_seconds,
--- a/src/lifttrestle/internal/fleet/policy/engine_costs.py
+++ b/src/lifttrestle/internal/fleet/policy/engine_costs.py
@@ -82,7 +82,7 @@
 
     :ivar now: monotonic time in seconds.
     :ivar data_centre: data centre of this router.
-    :ivar wanted_version: newest version of the weights of the model.
+    :ivar target_version: newest version of the weights of the model.
     :ivar urgency: of the request; 0 is the most urgent.
     :ivar slots: maximum number of concurrent requests per engine, zero if
         unknown.
@@ -93,7 +93,7 @@
 
     now: float
     data_centre: str
-    wanted_version: int
+    target_version: int
     urgency: int = 0
     slots: int = 0
     read_seconds: float = PRIOR_READ_SECONDS
@@ -202,7 +202,7 @@
         cost += max(running + 1 - context.slots, 0) * SLOT_WAIT_SECONDS
     cost += compute_network_cost(upstream, context)
     held = upstream.weights.get(prompt.model, 0)
-    if held < context.wanted_version:
+    if held < context.target_version:
         cost += OLD_WEIGHTS_PENALTY_SECONDS
     return cost
 
