--- a/src/lifttrestle/internal/fleet/path/upstream_search.py
+++ b/src/lifttrestle/internal/fleet/path/upstream_search.py
@@ -20,7 +20,7 @@
 from lifttrestle.internal.fleet.path.request_context import RequestContext
 from lifttrestle.internal.fleet.policy.placement import Placement
 from lifttrestle.internal.fleet.policy.shedding import decide_shedding
-from lifttrestle.internal.fleet.policy.shedding import find_hold_end
+from lifttrestle.internal.fleet.policy.shedding import find_wait_end
 from lifttrestle.internal.fleet.state.upstream import FleetUpstream
 from lifttrestle.internal.refusal.kind import ErrorKind
 
@@ -39,7 +39,7 @@
         wait too long in the queue of the best one.
     """
     clock = request.parts.clock
-    until = find_hold_end(
+    until = find_wait_end(
         request.started,
         clock.monotonic(),
         request.admitted.route.target_seconds,
--- a/src/lifttrestle/internal/fleet/policy/shedding.py
+++ b/src/lifttrestle/internal/fleet/policy/shedding.py
@@ -79,7 +79,7 @@
     )
 
 
-def find_hold_end(
+def find_wait_end(
     started: float, now: float, target: float, left: float, *, offered: bool
 ) -> float:
     """Return until when a request may wait for an upstream.
