--- a/src/lifttrestle/internal/admission/workspaces.py
+++ b/src/lifttrestle/internal/admission/workspaces.py
@@ -61,7 +61,7 @@
             )
         now = self._clock.monotonic()
         level = self._get_level(workspace, routers)
-        missing = level.find_shortfall(1.0, level.get_left(now))
+        missing = level.find_shortfall(1.0, level.get_remaining(now))
         if missing > 0:
             raise RequestRefused(
                 ErrorKind.RATE_LIMITED,
--- a/src/lifttrestle/internal/fleet/policy/shared_level.py
+++ b/src/lifttrestle/internal/fleet/policy/shared_level.py
@@ -203,7 +203,7 @@
         self.level -= used
         return share
 
-    def get_left(self, now: float) -> float:
+    def get_remaining(self, now: float) -> float:
         """Return the available units, less unreported usage of others."""
         self.advance(now)
         free, scale = self._split(now)
@@ -218,7 +218,7 @@
         """Return the units by which a request exceeds the cap, or zero.
 
         :param units: units of the request.
-        :param left: current result of ``get_left``.
+        :param left: current result of ``get_remaining``.
         """
         # If silent groups reduce the refill, less is sufficient.
         refill_share = self._find_refill() / self.cap.rate
--- a/src/lifttrestle/internal/fleet/usage/ledger.py
+++ b/src/lifttrestle/internal/fleet/usage/ledger.py
@@ -246,7 +246,7 @@
         if level is None:
             return None
         now = self._clock.monotonic()
-        left = level.get_left(now)
+        left = level.get_remaining(now)
         missing = level.find_shortfall(units, left)
         decision = UsageDecision(
             units=units,
--- a/src/lifttrestle/internal/fleet/usage/publisher.py
+++ b/src/lifttrestle/internal/fleet/usage/publisher.py
@@ -150,7 +150,7 @@
             answer.append(
                 LevelEntry(
                     workspace,
-                    level.get_left(now),
+                    level.get_remaining(now),
                     count.serial,
                     count.used,
                     level.get_total_use(now),
--- a/tests/cover/test_load_sums.py
+++ b/tests/cover/test_load_sums.py
@@ -183,7 +183,7 @@
         for _ in range(3):
             fleet.run_round()
         level = fleet.routers[name].usage.find_level(WORKSPACE)
-        return level.get_left(fleet.clock.monotonic())
+        return level.get_remaining(fleet.clock.monotonic())
 
     def test_every_router_knows_what_all_used(self):
         for count in (8, 60):
--- a/tests/cover/test_usage_caps.py
+++ b/tests/cover/test_usage_caps.py
@@ -149,37 +149,37 @@
     def test_a_large_request_is_served_and_waited_for(self):
         level = self.make({})
         level.take(400.0, 0.0)
-        self.assertLess(level.get_left(2.9), 0)
-        self.assertGreater(level.get_left(3.1), 0)
+        self.assertLess(level.get_remaining(2.9), 0)
+        self.assertGreater(level.get_remaining(3.1), 0)
 
     def test_what_is_given_back_can_be_taken(self):
         level = self.make({})
         level.take(100.0, 0.0)
         level.take(-40.0, 0.0)
-        self.assertAlmostEqual(level.get_left(0.0), 40.0)
+        self.assertAlmostEqual(level.get_remaining(0.0), 40.0)
 
     def test_what_others_used_is_gone(self):
         level = self.make({'b': 1})
         self.others.note_heard('b', 0.0)
         level.note_elsewhere('b', 70.0, 0.0)
-        self.assertAlmostEqual(level.get_left(0.0), 30.0)
+        self.assertAlmostEqual(level.get_remaining(0.0), 30.0)
 
     def test_unreported_group_is_assumed_to_use_its_share(self):
         level = self.make({'b': 1}, level=20.0)
-        self.assertAlmostEqual(level.get_left(0.2), 20.0 + 20.0 - 10.0)
+        self.assertAlmostEqual(level.get_remaining(0.2), 20.0 + 20.0 - 10.0)
 
     def test_unreachable_group_keeps_its_share(self):
         level = self.make({'b': 3})
         now = SILENT_SECONDS + 0.01
-        self.assertAlmostEqual(level.get_left(now), 25.0, delta=1.0)
+        self.assertAlmostEqual(level.get_remaining(now), 25.0, delta=1.0)
         level.take(25.0, now)
-        self.assertAlmostEqual(level.get_left(now + 1.0), 25.0, delta=1.0)
+        self.assertAlmostEqual(level.get_remaining(now + 1.0), 25.0, delta=1.0)
 
     def test_what_was_assumed_is_not_counted_twice(self):
         level = self.make({'b': 1})
         later = SILENT_SECONDS + 2.0
-        level.get_left(SILENT_SECONDS + 0.01)
-        level.get_left(later)
+        level.get_remaining(SILENT_SECONDS + 0.01)
+        level.get_remaining(later)
         before = level.level
         self.others.note_heard('b', later)
         level.note_elsewhere('b', 50.0, later)
@@ -190,17 +190,17 @@
     def test_a_lower_burst_holds_at_once_and_a_higher_one_is_saved_up(self):
         level = self.make({})
         level.set_cap(UsageCap(10.0, 10.0, UsageUnit.TOKENS))
-        self.assertAlmostEqual(level.get_left(0.0), 10.0)
+        self.assertAlmostEqual(level.get_remaining(0.0), 10.0)
         level.set_cap(UsageCap(100.0, 100.0, UsageUnit.TOKENS))
-        self.assertAlmostEqual(level.get_left(0.0), 10.0)
-        self.assertAlmostEqual(level.get_left(0.5), 60.0)
+        self.assertAlmostEqual(level.get_remaining(0.0), 10.0)
+        self.assertAlmostEqual(level.get_remaining(0.5), 60.0)
 
     def test_a_cap_that_is_lowered_in_a_cut_leaves_a_part(self):
         level = self.make({'b': 3})
-        level.get_left(SILENT_SECONDS + 0.01)
+        level.get_remaining(SILENT_SECONDS + 0.01)
         level.set_cap(UsageCap(20.0, 20.0, UsageUnit.TOKENS))
-        level.take(level.get_left(2.0), 2.0)
-        self.assertAlmostEqual(level.get_left(3.0), 5.0, delta=0.5)
+        level.take(level.get_remaining(2.0), 2.0)
+        self.assertAlmostEqual(level.get_remaining(3.0), 5.0, delta=0.5)
 
     def test_flapping_caps_give_out_no_burst_twice(self):
         low = UsageCap(10.0, 10.0, UsageUnit.TOKENS)
@@ -210,7 +210,7 @@
         for step in range(40):
             now = step * 0.1
             level.set_cap(low if step % 2 else high)
-            left = level.get_left(now)
+            left = level.get_remaining(now)
             if left > 0:
                 level.take(left, now)
                 taken += left
@@ -219,7 +219,7 @@
     def test_refused_callers_come_back_one_after_the_other(self):
         level = self.make({'b': 1})
         level.take(150.0, 0.0)
-        missing = level.find_shortfall(10.0, level.get_left(0.0))
+        missing = level.find_shortfall(10.0, level.get_remaining(0.0))
         times = [
             level.find_retry_seconds(10.0, missing, 0.0) for _ in range(8)
         ]
@@ -245,9 +245,11 @@
                         observer.others.note_heard(name, now)
                         observer.note_elsewhere(name, units, now)
         cut = now + SILENT_SECONDS + 0.01
-        left = {name: level.get_left(cut) for name, level in sides.items()}
+        left = {
+            name: level.get_remaining(cut) for name, level in sides.items()
+        }
         gained = [
-            level.get_left(cut + 0.5) - left[name]
+            level.get_remaining(cut + 0.5) - left[name]
             for name, level in sides.items()
         ]
         self.assertAlmostEqual(sum(gained), 50.0, delta=10.0)
@@ -327,7 +329,7 @@
         )
         self.ledger.use_groups({})
 
-    def get_left(self):
+    def get_remaining(self):
         return self.ledger.find_level(self.workspace).level
 
     def make(self, tokens=100):
@@ -337,22 +339,22 @@
 
     def test_what_is_never_sent_is_given_back(self):
         charge = self.make()
-        self.assertAlmostEqual(self.get_left(), 900.0)
+        self.assertAlmostEqual(self.get_remaining(), 900.0)
         charge.settle()
-        self.assertAlmostEqual(self.get_left(), 1000.0)
+        self.assertAlmostEqual(self.get_remaining(), 1000.0)
 
     def test_what_was_sent_counts(self):
         charge = self.make()
         charge.note_sent()
         charge.settle()
-        self.assertAlmostEqual(self.get_left(), 900.0)
+        self.assertAlmostEqual(self.get_remaining(), 900.0)
 
     def test_what_an_upstream_turned_away_counts_nothing(self):
         charge = self.make()
         charge.note_sent()
         charge.note_not_run()
         charge.settle()
-        self.assertAlmostEqual(self.get_left(), 1000.0)
+        self.assertAlmostEqual(self.get_remaining(), 1000.0)
 
     def test_what_another_upstream_runs_after_that_counts_once(self):
         charge = self.make()
@@ -360,23 +362,23 @@
         charge.note_not_run()
         charge.note_sent()
         charge.settle()
-        self.assertAlmostEqual(self.get_left(), 900.0)
+        self.assertAlmostEqual(self.get_remaining(), 900.0)
 
     def test_a_second_run_counts_again(self):
         charge = self.make()
         charge.note_sent()
         charge.note_sent()
         charge.settle()
-        self.assertAlmostEqual(self.get_left(), 800.0)
+        self.assertAlmostEqual(self.get_remaining(), 800.0)
 
     def test_what_is_refused_takes_nothing(self):
         self.make(1500).note_sent()
-        before = self.get_left()
+        before = self.get_remaining()
         charge = UsageCharge(self.ledger, self.workspace, 100)
         decision = charge.admit()
         self.assertGreater(decision.retry_seconds, 0.0)
         charge.settle()
-        self.assertAlmostEqual(self.get_left(), before)
+        self.assertAlmostEqual(self.get_remaining(), before)
 
     def test_a_workspace_without_a_cap_is_not_counted(self):
         free = Workspace('free', None, False)
