--- a/src/lifttrestle/internal/fleet/path/event_buffer.py
+++ b/src/lifttrestle/internal/fleet/path/event_buffer.py
@@ -107,7 +107,7 @@
     """Return the log fields of a workspace's use of its cap."""
     return {
         'units': round(facts.units),
-        'left': round(facts.left),
+        'left': round(facts.remaining),
         'used_per_s': round(facts.use),
         'share_per_s': round(facts.share),
         'rate_per_s': round(facts.cap.rate),
--- a/src/lifttrestle/internal/fleet/usage/ledger.py
+++ b/src/lifttrestle/internal/fleet/usage/ledger.py
@@ -45,7 +45,7 @@
     """An admission decision with the values it was based on, for the log.
 
     :ivar units: units that the request needs.
-    :ivar left: remaining units, negative if the cap was exceeded.
+    :ivar remaining: remaining units, negative if the cap was exceeded.
     :ivar use: units per second used at all routers.
     :ivar share: units per second of these that this router may use.
     :ivar silent: number of groups of routers without recent messages.
@@ -54,7 +54,7 @@
     """
 
     units: float
-    left: float
+    remaining: float
     use: float
     share: float
     cap: UsageCap
@@ -250,7 +250,7 @@
         missing = level.find_shortfall(units, left)
         decision = UsageDecision(
             units=units,
-            left=left,
+            remaining=left,
             use=level.get_total_use(now),
             share=level.find_own_share(now),
             cap=level.cap,
