--- a/src/lifttrestle/internal/fleet/path/upstream_search.py
+++ b/src/lifttrestle/internal/fleet/path/upstream_search.py
@@ -44,7 +44,7 @@
         clock.monotonic(),
         request.admitted.route.target_seconds,
         request.get_remaining_seconds(),
-        offered=request.sends > 0,
+        was_sent=request.sends > 0,
     )
     waiting = False
     while True:
--- a/src/lifttrestle/internal/fleet/policy/shedding.py
+++ b/src/lifttrestle/internal/fleet/policy/shedding.py
@@ -80,7 +80,7 @@
 
 
 def find_wait_end(
-    started: float, now: float, target: float, left: float, *, offered: bool
+    started: float, now: float, target: float, left: float, *, was_sent: bool
 ) -> float:
     """Return until when a request may wait for an upstream.
 
@@ -88,9 +88,9 @@
     :param now: current time, monotonic seconds.
     :param target: objective for the time to first token, in seconds.
     :param left: remaining time of the caller, in seconds.
-    :param offered: the request was sent to an upstream before.
+    :param was_sent: the request was sent to an upstream before.
     :returns: monotonic seconds.
     """
-    if not offered:
+    if not was_sent:
         return started + HELD_TARGET_SHARE * target
     return now + min(MAX_HELD_SECONDS, left * HELD_SHARE)
--- a/tests/cover/test_decisions.py
+++ b/tests/cover/test_decisions.py
@@ -52,13 +52,13 @@
 class TestHolding(unittest.TestCase):
     def test_nothing_is_held_past_an_eighth_of_its_objective(self):
         # Requests were held for 0.8 s before they were refused.
-        end = find_wait_end(10.0, 10.03, 0.4, 15.0, offered=False)
+        end = find_wait_end(10.0, 10.03, 0.4, 15.0, was_sent=False)
         self.assertAlmostEqual(end, 10.05)
 
     def test_one_that_was_turned_away_may_wait_for_a_load(self):
-        end = find_wait_end(10.0, 10.2, 0.4, 15.0, offered=True)
+        end = find_wait_end(10.0, 10.2, 0.4, 15.0, was_sent=True)
         self.assertAlmostEqual(end, 11.0)
-        end = find_wait_end(10.0, 10.2, 0.4, 1.0, offered=True)
+        end = find_wait_end(10.0, 10.2, 0.4, 1.0, was_sent=True)
         self.assertAlmostEqual(end, 10.4)
 
 
