--- a/src/lifttrestle/internal/fleet/crashes/loss_watch.py
+++ b/src/lifttrestle/internal/fleet/crashes/loss_watch.py
@@ -72,7 +72,7 @@
     REACHED = enum.auto()
     # Nothing listens at its address; later evidence may refute the crash.
     CRASHED = enum.auto()
-    # It has crashed for certain: its entry is gone or a newer start exists.
+    # It has certainly crashed: its entry is gone or a newer start exists.
     PROVED = enum.auto()
     # It has not crashed.
     SOUND = enum.auto()
@@ -196,9 +196,9 @@
                 for digest in sorted(loss.digests):
                     self.on_crash_retracted(digest, loss.upstream.digest)
 
-    def note_probed(self, start: str, taken: bool, refused: bool) -> None:
+    def note_probed(self, start: str, accepted: bool, refused: bool) -> None:
         """Record whether the address of a start accepted a connection."""
-        if taken:
+        if accepted:
             self.note_evidence(start, StartEvidence.ACCEPTED)
         elif refused:
             self.note_evidence(start, StartEvidence.REFUSED)
--- a/src/lifttrestle/internal/fleet/limits/allocators.py
+++ b/src/lifttrestle/internal/fleet/limits/allocators.py
@@ -67,7 +67,7 @@
             return self._roster.data_centre
         return self._roster.get_data_centre(key)
 
-    def list_of_all_data_centres(self) -> set[str]:
+    def list_all(self) -> set[str]:
         """Return the keys of the allocators of all data centres."""
         routers = self._roster.routers
         data_centres = {self._get_data_centre(key) for key in routers}
@@ -102,6 +102,6 @@
         return SHARES[ranked.index(self._roster.key)]
 
     def avoid(self, key: str) -> None:
-        """Skip an allocator that did not answer for ``AVOID_SECONDS``."""
+        """Skip an allocator for ``AVOID_SECONDS``, as it did not answer."""
         self._avoided[key] = self._clock.monotonic() + AVOID_SECONDS
         LOG.info('limits.allocator_silent', router=key)
--- a/src/lifttrestle/internal/fleet/limits/limit_state.py
+++ b/src/lifttrestle/internal/fleet/limits/limit_state.py
@@ -115,8 +115,8 @@
 
 def read_item(item: LimitItem, now: float) -> LimitObservation:
     """Return the observation that an item reports."""
-    begin = now - item.begun - TRANSIT_SECONDS
+    begin = now - item.begin_age - TRANSIT_SECONDS
     if item.rate is None:
         # The sender was certain of the end: no transit time is deducted.
-        begin = now - item.heard
-    return LimitObservation(item.rate, begin, now - item.heard)
+        begin = now - item.receipt_age
+    return LimitObservation(item.rate, begin, now - item.receipt_age)
--- a/src/lifttrestle/internal/fleet/limits/listing.py
+++ b/src/lifttrestle/internal/fleet/limits/listing.py
@@ -46,7 +46,7 @@
 
 def _build_entry(limit: LimitState, now: float) -> ListedLimit:
     known_limit = limit.known_limit
-    named_at = (
+    reported_at = (
         known_limit.latest.end
         if known_limit.rate is not None
         else known_limit.ended_at
@@ -56,7 +56,7 @@
         limit.start,
         limit.data_centre,
         known_limit.rate,
-        round(now - named_at, 3),
+        round(now - reported_at, 3),
         bucket.share if bucket is not None else 0.0,
         round(bucket.use.get(now), 3) if bucket is not None else 0.0,
     )
--- a/src/lifttrestle/internal/fleet/limits/messages.py
+++ b/src/lifttrestle/internal/fleet/limits/messages.py
@@ -13,7 +13,7 @@
 """Messages by which routers share the limits that upstreams report.
 
 Times are sent as ages, since the clocks of two machines differ. Messages are
-datagrams; a lost one is made up for by the next update or query.
+datagrams; the next update or query compensates for a lost one.
 """
 
 from typing import Annotated
@@ -30,28 +30,29 @@
 
     :ivar start: digest of the start.
     :ivar rate: requests per second, None if the limit has ended.
-    :ivar begun: age in seconds of the earliest time at which the answer that
+    :ivar begin_age: seconds since the earliest time at which the answer that
         reported the rate may have been made.
-    :ivar heard: age in seconds of the receipt of that answer.
+    :ivar receipt_age: seconds since the receipt of that answer.
     :ivar recovering: the limit has ended, and permits are still needed.
     """
 
     start: Count
     rate: Rate | None
-    begun: Seconds
-    heard: Seconds
+    begin_age: Seconds
+    receipt_age: Seconds
     recovering: bool = False
 
 
 class LimitUpdate(msgspec.Struct, frozen=True, array_like=True, tag=5):
     """Limits that a router knows; may be repeated, in any order.
 
-    :ivar whole: answers a sync request, with all limits that need permits.
+    :ivar complete: whether the update answers a sync request and contains all
+        limits that need permits.
     """
 
     vm: str
     items: list[LimitItem]
-    whole: bool = False
+    complete: bool = False
 
 
 class LimitSyncRequest(msgspec.Struct, frozen=True, array_like=True, tag=6):
@@ -78,10 +79,10 @@
     """Grants a permit, or states when to retry.
 
     :ivar wait: seconds until the retry, zero if the permit is granted.
-    :ivar free: requests need no permit any more.
+    :ivar unlimited: requests need no permit any more.
     """
 
     vm: str
     number: Count
     wait: Seconds
-    free: bool = False
+    unlimited: bool = False
--- a/src/lifttrestle/internal/fleet/limits/permits.py
+++ b/src/lifttrestle/internal/fleet/limits/permits.py
@@ -104,7 +104,7 @@
                     # These requests do not wait for a second answer.
                     break
                 continue
-            if answer.free:
+            if answer.unlimited:
                 self._registry.end_recovery(limit, key)
             self.count('refused' if answer.wait else 'granted')
             return PermitDecision(answer.wait, key)
--- a/src/lifttrestle/internal/fleet/limits/registry.py
+++ b/src/lifttrestle/internal/fleet/limits/registry.py
@@ -143,7 +143,7 @@
     def _is_recovered(self, limit: LimitState, now: float) -> bool:
         """Return whether a recovery is complete.
 
-        Only an allocator of the whole limit can tell; a standby allocator
+        Only an allocator of the whole limit knows it; a standby allocator
         receives few queries or none.
         """
         if limit.bucket is None or not limit.is_sole_allocator:
--- a/src/lifttrestle/internal/fleet/limits/replicator.py
+++ b/src/lifttrestle/internal/fleet/limits/replicator.py
@@ -104,11 +104,11 @@
         """Send all limits to a router that has just started."""
         limited = [limit for limit in self._registry if limit.needs_permits]
         key = f'{ROUTER_PREFIX}{request.vm}'
-        self._send_items(self._build_items(limited), [key], whole=True)
+        self._send_items(self._build_items(limited), [key], complete=True)
 
     def handle_update(self, update: LimitUpdate) -> None:
         """Apply the limits that another router knows."""
-        self._synced = self._synced or update.whole
+        self._synced = self._synced or update.complete
         for item in update.items:
             upstream = self._directory.get_by_digest(item.start)
             known = self._registry.get(item.start)
@@ -138,9 +138,7 @@
         now = self._clock.monotonic()
         if self._sync_started_at is None:
             self._sync_started_at = now
-        others = self._allocators.list_of_all_data_centres() - {
-            self._roster.key
-        }
+        others = self._allocators.list_all() - {self._roster.key}
         if now - self._sync_requested_at >= SYNC_RETRY_SECONDS:
             self._sync_requested_at = now
             for key in others:
@@ -206,10 +204,10 @@
         items: list[LimitItem],
         keys: Collection[str],
         *,
-        whole: bool = False,
+        complete: bool = False,
     ) -> None:
         """Send items in messages of ``MAX_ITEMS``, at least one message."""
         for first in range(0, max(len(items), 1), MAX_ITEMS):
             part = items[first : first + MAX_ITEMS]
             for key in keys:
-                self.send(LimitUpdate(self._vm, part, whole), key)
+                self.send(LimitUpdate(self._vm, part, complete), key)
--- a/src/lifttrestle/internal/fleet/limits/upstream_limits.py
+++ b/src/lifttrestle/internal/fleet/limits/upstream_limits.py
@@ -12,8 +12,8 @@
 
 """Fleet-wide enforcement of the rate limits that upstreams report.
 
-Requests to a limited upstream need a permit until its limit has ended and the
-rate of permits was raised gradually to the full load.
+Requests to a limited upstream need a permit. After the limit has ended, the
+rate of permits rises gradually to the full load; then no permit is needed.
 """
 
 import asyncio
--- a/src/lifttrestle/internal/fleet/policy/cache_sources.py
+++ b/src/lifttrestle/internal/fleet/policy/cache_sources.py
@@ -41,7 +41,7 @@
     def choose(
         self, salt: str, generation: Generation, store_address: str
     ) -> CacheUse:
-        """Return whether an engine reads from and writes to the store.
+        """Return where an engine reads cached prefixes from and writes to.
 
         Engines do not read from the engine that served a prefix last: it has
         often evicted the prefix, and more tokens had to be recomputed.
--- a/src/lifttrestle/internal/fleet/policy/engine_costs.py
+++ b/src/lifttrestle/internal/fleet/policy/engine_costs.py
@@ -21,7 +21,9 @@
 from lifttrestle.internal.fleet.state.shared_parts import SharedParts
 from lifttrestle.internal.fleet.state.upstream import FleetUpstream
 
-# Engines besides the first home that usually cache a shared prefix too.
+# The homes of a shared prefix are the engines, as rendezvous hashing ranks
+# them, to which its requests go. Number of engines besides the first home that
+# usually cache the prefix too.
 EXTRA_HOMES = 2
 # Approximate slowdown that a running request causes to the others on its
 # engine.
@@ -42,7 +44,7 @@
 # connection. Well below the prefill time of a shared prefix of 600 tokens.
 NEW_CONNECTION_SECONDS = 0.01
 # Engines without a queue begin to answer within this time. A request that has
-# waited longer indicates the length of the queue.
+# waited longer shows that there is a queue, and how long it is.
 NORMAL_WAIT_SECONDS = 0.15
 
 
@@ -155,8 +157,8 @@
     fetched = known * _get_miss_probability(rank) * context.fetch_share
     unread = prompt.own_tokens + unknown + round(fetched)
     queue = _estimate_queue_seconds(upstream, context)
-    reading = unread * context.read_seconds
-    return EngineEstimate(unread, queue, queue + reading + FIRST_STEP_SECONDS)
+    prefill = unread * context.read_seconds
+    return EngineEstimate(unread, queue, queue + prefill + FIRST_STEP_SECONDS)
 
 
 def _get_miss_probability(rank: int) -> float:
@@ -201,8 +203,8 @@
     if context.slots:
         cost += max(running + 1 - context.slots, 0) * SLOT_WAIT_SECONDS
     cost += compute_network_cost(upstream, context)
-    held = upstream.weights.get(prompt.model, 0)
-    if held < context.target_version:
+    loaded = upstream.weights.get(prompt.model, 0)
+    if loaded < context.target_version:
         cost += OLD_WEIGHTS_PENALTY_SECONDS
     return cost
 
--- a/src/lifttrestle/internal/fleet/policy/limit_permits.py
+++ b/src/lifttrestle/internal/fleet/policy/limit_permits.py
@@ -37,7 +37,7 @@
 # Growth starts at this rate at least, in requests per second.
 MIN_GROWTH_RATE = 1.0
 # A removed limit is discarded after this time, or sooner if no request was
-# refused for longer than refused requests are told to wait: the demand of the
+# refused for longer than the retry time of refused requests: the demand of the
 # routers is then below the permitted rate.
 RECOVERY_SECONDS = 8.0
 NO_REFUSAL_SECONDS = 4.0
@@ -145,8 +145,8 @@
         seconds = max(now - self._at, 0.0)
         self._at = now
         rate = self._get_own_rate(now)
-        most = 1.0 + self.share + BURST_SECONDS * rate
-        self._level = min(self._level + rate * seconds, most)
+        capacity = 1.0 + self.share + BURST_SECONDS * rate
+        self._level = min(self._level + rate * seconds, capacity)
 
     def _get_own_rate(self, now: float) -> float:
         return self.get_rate(now) * self.share
@@ -166,9 +166,9 @@
         would all ask at once.
         """
         rate = self._get_own_rate(now)
-        room = now + max(1.0 - self._level, 0.0) / rate
-        begin = max(self._next_retry_at, room)
-        if begin > room + MAX_SPREAD_SECONDS:
-            begin = room
-        self._next_retry_at = begin + 1.0 / rate
-        return max(begin - now, MIN_WAIT_SECONDS)
+        available_at = now + max(1.0 - self._level, 0.0) / rate
+        retry_at = max(self._next_retry_at, available_at)
+        if retry_at > available_at + MAX_SPREAD_SECONDS:
+            retry_at = available_at
+        self._next_retry_at = retry_at + 1.0 / rate
+        return max(retry_at - now, MIN_WAIT_SECONDS)
--- a/src/lifttrestle/internal/fleet/policy/other_routers.py
+++ b/src/lifttrestle/internal/fleet/policy/other_routers.py
@@ -23,29 +23,32 @@
 
     A group is one router, or several for which one of them reports.
 
-    :param summed: reports contain a level rather than usage; until the next
-        report, usage is assumed to continue at the same rate.
+    :param reports_level: whether reports contain a level rather than usage;
+        the usage is then assumed to continue at the same rate until the next
+        report.
     """
 
-    def __init__(self, *, summed: bool = False) -> None:
-        self.summed = summed
+    def __init__(self, *, reports_level: bool = False) -> None:
+        self.reports_level = reports_level
         self._groups: dict[str, int] = {}
-        self._heard: dict[str, float] = {}
+        self._reported_at: dict[str, float] = {}
         self._refreshed_at = -math.inf
         self._silent: frozenset[str] = frozenset()
         self._unreported_seconds = 0.0
         self.count = 0
 
-    def set_groups(self, groups: Mapping[str, int], heard_at: float) -> None:
+    def set_groups(
+        self, groups: Mapping[str, int], reported_at: float
+    ) -> None:
         """Replace the groups.
 
         :param groups: number of routers by name of the group.
-        :param heard_at: time of the last report to assume for new groups,
+        :param reported_at: time of the last report to assume for new groups,
             monotonic seconds.
         """
         self._groups = dict(groups)
-        self._heard = {
-            name: self._heard.get(name, heard_at) for name in groups
+        self._reported_at = {
+            name: self._reported_at.get(name, reported_at) for name in groups
         }
         self.count = sum(groups.values())
         self._refreshed_at = -math.inf
@@ -58,15 +61,15 @@
         """Return the number of routers of a group, zero if it is unknown."""
         return self._groups.get(name, 0)
 
-    def note_heard(self, name: str, now: float) -> None:
+    def note_report(self, name: str, now: float) -> None:
         """Record a report of a group."""
         if name in self._groups:
-            self._heard[name] = now
+            self._reported_at[name] = now
             self._refreshed_at = -math.inf
 
     def get_age(self, name: str, now: float) -> float:
         """Return the seconds since the last report of a group."""
-        return now - self._heard.get(name, -math.inf)
+        return now - self._reported_at.get(name, -math.inf)
 
     def list_silent(self, now: float) -> frozenset[str]:
         """Return the groups without a recent report."""
@@ -88,7 +91,7 @@
         silent = []
         self._unreported_seconds = 0.0
         for name, routers in self._groups.items():
-            age = now - self._heard[name]
+            age = now - self._reported_at[name]
             if age > SILENT_SECONDS:
                 silent.append(name)
             else:
--- a/src/lifttrestle/internal/fleet/policy/placement.py
+++ b/src/lifttrestle/internal/fleet/policy/placement.py
@@ -38,8 +38,8 @@
 # next update: with 195 routers and 59 engines at 0.75 of their prefill
 # capacity, the fraction of requests in time is 0.947 with eight random
 # engines, 0.974 with four and 0.981 with two (simulated load).
-CONSIDERED_HOMES = 4
-CONSIDERED_OTHERS = 4
+CANDIDATE_HOMES = 4
+CANDIDATE_OTHERS = 4
 # Maximum number of candidates in a log event.
 MAX_LOGGED_CANDIDATES = 5
 # Cost per running request of a plain service, which has few slots.
@@ -71,14 +71,16 @@
 
 
 def choose_plain(
-    fit: list[FleetUpstream], context: PlacementContext, source: random.Random
+    available: list[FleetUpstream],
+    context: PlacementContext,
+    source: random.Random,
 ) -> Placement | None:
     """Return the upstream of a plain service with the lowest cost.
 
     Returns None if there is no upstream.
     """
     costs = {}
-    healthy = _prefer_healthy(fit, context.now)
+    healthy = _prefer_healthy(available, context.now)
     for upstream in healthy:
         cost = upstream.first_byte_seconds
         cost += upstream.in_flight * PLAIN_RUNNING_SECONDS
@@ -87,11 +89,11 @@
         costs[upstream.instance] = cost
     if not healthy:
         return None
-    return _choose_cheapest(fit, healthy, costs, 'least expected time')
+    return _choose_cheapest(available, healthy, costs, 'least expected time')
 
 
 def choose_engine(
-    fit: list[FleetUpstream],
+    available: list[FleetUpstream],
     generation: Generation,
     cache_scope: str,
     parts: SharedParts,
@@ -104,26 +106,26 @@
     then have it cached. They go elsewhere only when waiting costs more than
     computing the prefix. Returns None if there is no engine.
     """
-    ranked = _rank_homes(fit, generation, cache_scope)
-    considered = _list_considered(ranked, context.now, source)
-    if not considered:
+    ranked = _rank_homes(available, generation, cache_scope)
+    candidates = _select_candidates(ranked, context.now, source)
+    if not candidates:
         return None
-    prompt = count_prompt_tokens(considered, generation, cache_scope, parts)
+    prompt = count_prompt_tokens(candidates, generation, cache_scope, parts)
     estimates = {}
     costs = {}
-    for rank, upstream in enumerate(considered):
+    for rank, upstream in enumerate(candidates):
         estimate = estimate_engine(upstream, rank, prompt, context)
         estimates[upstream.instance] = estimate
         costs[upstream.instance] = compute_engine_cost(
             upstream, rank, prompt, estimate, context
         )
-    homes = ranked[:CONSIDERED_HOMES] if _is_large(ranked) else ranked
-    placement = _choose_cheapest(homes, considered, costs, 'home')
+    homes = ranked[:CANDIDATE_HOMES] if _is_large(ranked) else ranked
+    placement = _choose_cheapest(homes, candidates, costs, 'home')
     chosen = placement.upstream
     estimate = estimates[chosen.instance]
     return dataclasses.replace(
         placement,
-        reason=f'home {considered.index(chosen)}',
+        reason=f'home {candidates.index(chosen)}',
         expected_seconds=estimate.first_token_seconds,
         queue_seconds=estimate.queue_seconds,
         unread_tokens=estimate.unread_tokens,
@@ -132,36 +134,36 @@
 
 
 def _rank_homes(
-    fit: list[FleetUpstream], generation: Generation, cache_scope: str
+    available: list[FleetUpstream], generation: Generation, cache_scope: str
 ) -> list[FleetUpstream]:
     # A prompt without a shared prefix has no home. If all such prompts had the
     # same key, they would go to the same engine until its load is reported.
-    named = generation.shared or generation.parts
-    key = named[-1].part_id if named else ''
+    prefix = generation.shared or generation.parts
+    key = prefix[-1].part_id if prefix else ''
     digest = f'{cache_scope}/{key}'.encode()[:64]
-    by_name = {upstream.instance: upstream for upstream in fit}
+    by_name = {upstream.instance: upstream for upstream in available}
     return [by_name[name] for name in rank_names(digest, list(by_name))]
 
 
-def _list_considered(
+def _select_candidates(
     ranked: list[FleetUpstream], now: float, source: random.Random
 ) -> list[FleetUpstream]:
     """Return the candidate engines, the first home first."""
     if not _is_large(ranked):
         return _prefer_healthy(ranked, now)
-    homes = _take_healthy(ranked, now, CONSIDERED_HOMES)
+    homes = _take_healthy(ranked, now, CANDIDATE_HOMES)
     others = [
         upstream
         for upstream in source.sample(ranked, len(ranked) // 2)
         if upstream not in homes
     ]
     others.sort(key=lacks_connection)
-    considered = homes + _take_healthy(others, now, CONSIDERED_OTHERS)
-    return considered or _prefer_healthy(ranked, now)
+    candidates = homes + _take_healthy(others, now, CANDIDATE_OTHERS)
+    return candidates or _prefer_healthy(ranked, now)
 
 
-def _is_large(fit: list[FleetUpstream]) -> bool:
-    return len(fit) > CONSIDERED_HOMES + CONSIDERED_OTHERS
+def _is_large(available: list[FleetUpstream]) -> bool:
+    return len(available) > CANDIDATE_HOMES + CANDIDATE_OTHERS
 
 
 def _take_healthy(
@@ -173,14 +175,16 @@
 
 
 def _choose_cheapest(
-    fit: list[FleetUpstream],
+    available: list[FleetUpstream],
     healthy: list[FleetUpstream],
     costs: dict[str, float],
     reason: str,
 ) -> Placement:
     best = min(healthy, key=lambda upstream: costs[upstream.instance])
     ordered = sorted(costs.items(), key=lambda item: item[1])
-    avoided = [item.instance for item in fit if item.instance not in costs]
+    avoided = [
+        item.instance for item in available if item.instance not in costs
+    ]
     return Placement(
         best,
         reason,
@@ -191,14 +195,20 @@
 
 
 def _prefer_healthy(
-    fit: list[FleetUpstream], now: float
+    available: list[FleetUpstream], now: float
 ) -> list[FleetUpstream]:
     """Return the healthy upstreams, or the others if there are none.
 
     Of the others, those whose circuit breaker allows requests are preferred.
     """
-    healthy = [upstream for upstream in fit if _is_healthy(upstream, now)]
-    return healthy or [item for item in fit if item.breaker.allows(now)] or fit
+    healthy = [
+        upstream for upstream in available if _is_healthy(upstream, now)
+    ]
+    return (
+        healthy
+        or [item for item in available if item.breaker.allows(now)]
+        or available
+    )
 
 
 def _is_healthy(upstream: FleetUpstream, now: float) -> bool:
--- a/src/lifttrestle/internal/fleet/policy/shared_level.py
+++ b/src/lifttrestle/internal/fleet/policy/shared_level.py
@@ -48,7 +48,7 @@
 
     :ivar use: usage reported by the group.
     :ivar silent: the group has not reported for ``SILENT_SECONDS``.
-    :ivar never_heard: the group had never reported when it became silent.
+    :ivar never_reported: the group had never reported when it became silent.
     :ivar silent_since: when it became silent, monotonic seconds.
     :ivar assumed_share: fraction of the rate that it is assumed to use while
         it is silent.
@@ -58,7 +58,7 @@
 
     use: RecentUse = dataclasses.field(default_factory=RecentUse)
     silent: bool = False
-    never_heard: bool = False
+    never_reported: bool = False
     silent_since: float = 0.0
     assumed_share: float = 0.0
     assumed_units: float = 0.0
@@ -126,7 +126,7 @@
         silent = self.others.list_silent(now)
         self._resume_groups(silent, now)
         rate = self.cap.rate
-        if self.others.summed:
+        if self.others.reports_level:
             rate -= sum(
                 group.use.get(now)
                 for group in self._groups.values()
@@ -164,14 +164,15 @@
         """Use the reports of a group again.
 
         Units charged while it was silent are not returned, as they may have
-        been used. A group that is first heard while this process starts was
-        never out of contact and reports its usage, so its units are returned.
+        been used. A group whose first report arrives while this process starts
+        was never out of contact and reports its usage, so its units are
+        returned.
         """
         group.silent = False
-        if group.never_heard and now - group.silent_since <= SILENT_SECONDS:
+        if group.never_reported and now - group.silent_since <= SILENT_SECONDS:
             self.level += group.assumed_units
             group.assumed_units = 0.0
-        group.never_heard = False
+        group.never_reported = False
 
     def _assume_use(
         self, name: str, group: GroupUse, rate: float, now: float
@@ -189,16 +190,16 @@
         share = (group.use.get(now) + free * routers) * scale
         group.assumed_share = share / self.cap.rate
         age = self.others.get_age(name, now)
-        group.never_heard = math.isinf(age)
+        group.never_reported = math.isinf(age)
         # The group may use its share of the level at the time of its last
         # report, of which this router has used its own share since.
         own = self.own_use.get_unaveraged(now)
-        saved = min(self.level + own, self.cap.capacity)
+        accumulated = min(self.level + own, self.cap.capacity)
         used = 0.0
-        if saved < self.cap.capacity and not group.never_heard:
+        if accumulated < self.cap.capacity and not group.never_reported:
             used = group.use.get(now) * scale * SILENT_SECONDS
         portion = min(share / rate, 1.0) if rate > 0 else 1.0
-        used += max(saved - used, 0.0) * portion
+        used += max(accumulated - used, 0.0) * portion
         group.assumed_units += used
         self.level -= used
         return share
@@ -214,20 +215,20 @@
                 pending += group.use.get(now) * scale * age
         return self.level - pending
 
-    def find_shortfall(self, units: float, left: float) -> float:
+    def find_shortfall(self, units: float, remaining: float) -> float:
         """Return the units by which a request exceeds the cap, or zero.
 
         :param units: units of the request.
-        :param left: current result of ``get_remaining``.
+        :param remaining: current result of ``get_remaining``.
         """
         # If silent groups reduce the refill, less is sufficient.
         refill_share = self._find_refill() / self.cap.rate
         needed = min(
             units, SUFFICIENT_SHARE * self.cap.capacity * refill_share
         )
-        return max(needed - left, 0.0)
+        return max(needed - remaining, 0.0)
 
-    def note_elsewhere(self, name: str, units: float, now: float) -> None:
+    def note_group_use(self, name: str, units: float, now: float) -> None:
         """Record usage of a group, less the units charged for it already."""
         self.advance(now)
         group = self._groups.setdefault(name, GroupUse())
@@ -239,7 +240,7 @@
     def adopt(self, level: float) -> None:
         """Adopt the level of a router that has run for longer, if lower."""
         for group in self._groups.values():
-            if group.never_heard:
+            if group.never_reported:
                 self.level += group.assumed_units
                 group.assumed_units = 0.0
         self.level = min(self.level, level)
@@ -261,7 +262,7 @@
         self.level = min(max(self.level - units, floor), self.cap.capacity)
 
     def find_retry_seconds(
-        self, units: float, missing: float, now: float
+        self, units: float, shortfall: float, now: float
     ) -> float:
         """Return the seconds after which a refused caller should retry.
 
@@ -269,15 +270,15 @@
         of this router.
 
         :param units: units of the request.
-        :param missing: units by which the request exceeds the cap.
+        :param shortfall: units by which the request exceeds the cap.
         """
-        room = now + missing / max(self._find_refill(), 1e-9)
-        begin = max(self._next_retry_at, room)
-        if begin > room + MAX_SPREAD_SECONDS:
-            begin = room
+        available_at = now + shortfall / max(self._find_refill(), 1e-9)
+        retry_at = max(self._next_retry_at, available_at)
+        if retry_at > available_at + MAX_SPREAD_SECONDS:
+            retry_at = available_at
         share = max(self.find_own_share(now), 1e-9)
-        self._next_retry_at = begin + units / share
-        return max(begin - now, MIN_RETRY_SECONDS)
+        self._next_retry_at = retry_at + units / share
+        return max(retry_at - now, MIN_RETRY_SECONDS)
 
     def _find_refill(self) -> float:
         """Return the rate less the assumed usage of silent groups."""
--- a/src/lifttrestle/internal/fleet/policy/shedding.py
+++ b/src/lifttrestle/internal/fleet/policy/shedding.py
@@ -28,21 +28,21 @@
 # late (tests/cover/test_played_load.py). Below the prefill capacity, neither
 # limit refuses a request.
 SHED_TARGET_SHARE = 0.8
-# A prompt whose prefill alone exceeds that limit is late even at an idle
+# A prompt whose prefill by itself exceeds that limit is late even at an idle
 # engine. It is served if the queue before it is at most this fraction of its
 # objective, as it would be refused forever otherwise.
 LONG_PROMPT_QUEUE_SHARE = 0.25
 MIN_RETRY_SECONDS = 0.4
 MAX_RETRY_SECONDS = 1.0
-# A request that was not sent to any upstream yet and that none can serve is
-# held for this fraction of its objective from its arrival, and then refused,
-# so that the caller has time left to try elsewhere.
-HELD_TARGET_SHARE = 1 / 8
-# A request that an upstream rejected or lost is held longer, but at most for
+# A request that was not sent to any upstream yet and that none can serve waits
+# for this fraction of its objective from its arrival, and is then refused, so
+# that the caller still has time to try elsewhere.
+WAIT_TARGET_SHARE = 1 / 8
+# A request that an upstream rejected or lost waits longer, but at most for
 # this fraction of the remaining time: engines that load weights are available
 # again within about a second.
-MAX_HELD_SECONDS = 0.8
-HELD_SHARE = 0.2
+MAX_WAIT_SECONDS = 0.8
+WAIT_SHARE = 0.2
 
 
 @dataclasses.dataclass(frozen=True)
@@ -70,8 +70,8 @@
     limit = SHED_TARGET_SHARE * target
     if expected <= limit:
         return None
-    alone = expected - queue
-    if alone > limit and queue <= LONG_PROMPT_QUEUE_SHARE * target:
+    without_queue = expected - queue
+    if without_queue > limit and queue <= LONG_PROMPT_QUEUE_SHARE * target:
         return None
     excess = expected - limit
     return ShedDecision(
@@ -80,17 +80,22 @@
 
 
 def find_wait_end(
-    started: float, now: float, target: float, left: float, *, was_sent: bool
+    started: float,
+    now: float,
+    target: float,
+    remaining: float,
+    *,
+    was_sent: bool,
 ) -> float:
     """Return until when a request may wait for an upstream.
 
     :param started: arrival of the request, monotonic seconds.
     :param now: current time, monotonic seconds.
     :param target: objective for the time to first token, in seconds.
-    :param left: remaining time of the caller, in seconds.
+    :param remaining: remaining time of the caller, in seconds.
     :param was_sent: the request was sent to an upstream before.
     :returns: monotonic seconds.
     """
     if not was_sent:
-        return started + HELD_TARGET_SHARE * target
-    return now + min(MAX_HELD_SECONDS, left * HELD_SHARE)
+        return started + WAIT_TARGET_SHARE * target
+    return now + min(MAX_WAIT_SECONDS, remaining * WAIT_SHARE)
--- a/src/lifttrestle/internal/fleet/policy/stopping.py
+++ b/src/lifttrestle/internal/fleet/policy/stopping.py
@@ -22,7 +22,7 @@
 STOPPING_RETRY_SECONDS = 0.01
 
 
-def can_finish_in_time(limit: float, left: float) -> bool:
+def can_finish_in_time(limit: float, remaining: float) -> bool:
     """Return whether a request that starts now finishes before the router.
 
     Only the time limit bounds the duration of a request. An estimate from
@@ -33,6 +33,6 @@
     0.983 without, nine runs each).
 
     :param limit: time limit of the request, in seconds.
-    :param left: seconds within which it must have finished.
+    :param remaining: seconds until the router must have finished its requests.
     """
-    return limit <= left
+    return limit <= remaining
--- a/src/lifttrestle/internal/fleet/policy/usage_caps.py
+++ b/src/lifttrestle/internal/fleet/policy/usage_caps.py
@@ -18,10 +18,10 @@
 from lifttrestle.internal.fleet.settings import Promises
 
 # Fraction of the tolerated excess of a window that a process may use before it
-# has heard from another. All routers may have been killed just after a whole
-# burst was used, and in a partitioned fleet each process that starts within a
-# window uses this fraction; the rest covers usage that routers have not yet
-# reported to each other.
+# has received a report of another router. All routers may have been killed
+# just after a whole burst was used, and in a partitioned fleet each process
+# that starts within a window uses this fraction; the rest covers usage that
+# routers have not yet reported to each other.
 START_SHARE = 0.25
 
 
@@ -63,7 +63,7 @@
         return max(self.burst, 1.0)
 
     def get_start_level(self, promises: Promises) -> float:
-        """Return the units for a process that has not heard of others."""
+        """Return the units for a process without reports of other routers."""
         window = self.rate * promises.cap_window_seconds + self.burst
         spare = promises.cap_over_share * window + promises.cap_slack
         return min(self.capacity, START_SHARE * spare)
--- a/src/lifttrestle/internal/fleet/policy/weight_loading.py
+++ b/src/lifttrestle/internal/fleet/policy/weight_loading.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Selects the engines to load newer weights and the router that orders it."""
+"""Decides which engines load newer weights, and which router orders it."""
 
 from collections.abc import Iterable
 import dataclasses
@@ -54,7 +54,7 @@
 def list_engines(
     upstreams: Iterable[FleetUpstream], model: str
 ) -> list[FleetUpstream]:
-    """Return the engines of a model that are not leaving or gone."""
+    """Return the engines of a model that may be ordered to load weights."""
     return [
         upstream
         for upstream in upstreams
@@ -84,8 +84,8 @@
     Engines that may be unreachable already reduce the capacity and count
     as loading.
     """
-    absent = [engine for engine in engines if engine.seems_down(now)]
-    allowed = math.floor(LOADING_SHARE * len(engines)) - len(absent)
+    unreachable = [engine for engine in engines if engine.seems_down(now)]
+    allowed = math.floor(LOADING_SHARE * len(engines)) - len(unreachable)
     return max(allowed, 1)
 
 
@@ -98,12 +98,14 @@
     soon as the orders of the last holder have certainly ended.
 
     :param routers: keys of the live routers.
-    :param key: key of the router that wants the lease.
+    :param key: key of the router that may take over the lease.
     """
     needed = lease.needed_since
     if lease.holder is not None:
         needed += HOLDER_RENEWAL_SECONDS
-    rest = lease.lease_seconds + ORDER_SECONDS + HANDOVER_SECONDS
+    handover = lease.lease_seconds + ORDER_SECONDS + HANDOVER_SECONDS
     others = [router for router in routers if router != lease.holder]
     rank = rank_names(model.encode()[:64], others).index(key)
-    return max(needed, lease.held_at + rest) + rank * TAKEOVER_STAGGER_SECONDS
+    return (
+        max(needed, lease.held_at + handover) + rank * TAKEOVER_STAGGER_SECONDS
+    )
--- a/src/lifttrestle/internal/fleet/policy/weights_filter.py
+++ b/src/lifttrestle/internal/fleet/policy/weights_filter.py
@@ -24,13 +24,13 @@
 def select_engines(
     engines: list[FleetUpstream],
     model: str,
-    wanted: TargetWeightsHistory | None,
+    target: TargetWeightsHistory | None,
     now: float,
     weights_seconds: float,
 ) -> list[FleetUpstream]:
     """Return the engines that may start a generation now.
 
-    :param wanted: newest weights of the model, None if none were specified.
+    :param target: newest weights of the model, None if none were specified.
     :param weights_seconds: time after which no generation may start on
         replaced weights.
     """
@@ -39,12 +39,12 @@
     # An engine rejects requests at once while it loads weights. If all engines
     # seem to load, one may have finished, or not have received its order.
     idle = idle or loaded
-    if wanted is None:
+    if target is None:
         return idle
     oldest = now - weights_seconds * OLD_WEIGHTS_SHARE
-    fit = []
+    recent = []
     for item in idle:
-        replaced_at = wanted.find_replaced_at(item.weights[model])
+        replaced_at = target.find_replaced_at(item.weights[model])
         if replaced_at is None or replaced_at > oldest:
-            fit.append(item)
-    return fit
+            recent.append(item)
+    return recent
--- a/src/lifttrestle/internal/fleet/usage/__init__.py
+++ b/src/lifttrestle/internal/fleet/usage/__init__.py
@@ -1,1 +1,1 @@
-"""What workspaces use of their caps, over all routers."""
+"""Usage of workspaces and its caps, over all routers."""
--- a/src/lifttrestle/internal/fleet/usage/ledger.py
+++ b/src/lifttrestle/internal/fleet/usage/ledger.py
@@ -80,7 +80,7 @@
         self._clock = clock
         self._get_caps = get_caps
         self._others = OtherRouters()
-        self._aggregated = OtherRouters(summed=True)
+        self._aggregated = OtherRouters(reports_level=True)
         self._levels: dict[int, SharedLevel] = {}
         self._received_at: dict[int, float] = {}
         # Monotonic time since which this router aggregates by itself.
@@ -130,13 +130,13 @@
         for level in self._levels.values():
             level.set_others(self._aggregated)
 
-    def note_aggregator_heard(self) -> None:
-        """Note that the aggregator has answered."""
-        self._aggregated.note_heard(OTHER_ROUTERS, self._clock.monotonic())
+    def note_aggregator_answer(self) -> None:
+        """Record an answer of the aggregator."""
+        self._aggregated.note_report(OTHER_ROUTERS, self._clock.monotonic())
 
-    def note_heard(self, group: str) -> None:
-        """Note that a group has reported its recent usage."""
-        self._others.note_heard(group, self._clock.monotonic())
+    def note_report(self, group: str) -> None:
+        """Record a report of the recent usage of a group."""
+        self._others.note_report(group, self._clock.monotonic())
 
     def find_level(self, workspace: Workspace) -> SharedLevel | None:
         """Return the level of a workspace, None if it has no cap."""
@@ -217,7 +217,7 @@
         if not self.is_synced:
             shared.adopt(level)
 
-    def note_elsewhere(
+    def note_group_use(
         self, workspace: int, group: str, units: float | None, reported: float
     ) -> None:
         """Count the usage of another group.
@@ -233,7 +233,7 @@
             shared.advance(self._clock.monotonic())
             units = min(reported, shared.get_assumed(group))
         if units:
-            shared.note_elsewhere(group, units, self._clock.monotonic())
+            shared.note_group_use(group, units, self._clock.monotonic())
 
     def admit(
         self, workspace: Workspace, units: float
@@ -246,17 +246,17 @@
         if level is None:
             return None
         now = self._clock.monotonic()
-        left = level.get_remaining(now)
-        missing = level.find_shortfall(units, left)
+        remaining = level.get_remaining(now)
+        shortfall = level.find_shortfall(units, remaining)
         decision = UsageDecision(
             units=units,
-            remaining=left,
+            remaining=remaining,
             use=level.get_total_use(now),
             share=level.find_own_share(now),
             cap=level.cap,
             silent=len(level.others.list_silent(now)),
-            retry_seconds=level.find_retry_seconds(units, missing, now)
-            if missing > 0
+            retry_seconds=level.find_retry_seconds(units, shortfall, now)
+            if shortfall > 0
             else None,
         )
         if decision.retry_seconds is None:
--- a/src/lifttrestle/internal/fleet/usage/publisher.py
+++ b/src/lifttrestle/internal/fleet/usage/publisher.py
@@ -126,16 +126,16 @@
                 continue
             if entry.level is not None:
                 self._ledger.adopt(entry.workspace, entry.level)
-            self._ledger.note_elsewhere(
+            self._ledger.note_group_use(
                 entry.workspace, group, units, entry.used
             )
         sender.has_baseline = True
-        self._ledger.note_heard(group)
+        self._ledger.note_report(group)
 
     def build_answer(self, vm: str) -> list[LevelEntry] | None:
         """Return the levels of the workspaces that a router reported recently.
 
-        :param vm: VM of the router that asks.
+        :param vm: VM of the router that sends the query.
         :returns: the levels, None if the router has never reported.
         """
         sender = self._senders.get(vm)
@@ -162,7 +162,7 @@
         """Apply an answer of the aggregator of this router."""
         if entries is None or not self._ledger.uses_aggregator:
             return
-        self._ledger.note_aggregator_heard()
+        self._ledger.note_aggregator_answer()
         for entry in entries:
             count = self._ledger.counts.get(entry.workspace)
             same = count is not None and count.serial == entry.serial
--- a/tests/cover/test_usage_caps.py
+++ b/tests/cover/test_usage_caps.py
@@ -160,8 +160,8 @@
 
     def test_what_others_used_is_gone(self):
         level = self.make({'b': 1})
-        self.others.note_heard('b', 0.0)
-        level.note_elsewhere('b', 70.0, 0.0)
+        self.others.note_report('b', 0.0)
+        level.note_group_use('b', 70.0, 0.0)
         self.assertAlmostEqual(level.get_remaining(0.0), 30.0)
 
     def test_unreported_group_is_assumed_to_use_its_share(self):
@@ -181,10 +181,10 @@
         level.get_remaining(SILENT_SECONDS + 0.01)
         level.get_remaining(later)
         before = level.level
-        self.others.note_heard('b', later)
-        level.note_elsewhere('b', 50.0, later)
+        self.others.note_report('b', later)
+        level.note_group_use('b', 50.0, later)
         self.assertAlmostEqual(level.level, before, delta=1.0)
-        level.note_elsewhere('b', 1000.0, later)
+        level.note_group_use('b', 1000.0, later)
         self.assertLess(level.level, before)
 
     def test_a_lower_burst_holds_at_once_and_a_higher_one_is_saved_up(self):
@@ -242,8 +242,8 @@
                 level.take(units, now)
                 for other, observer in sides.items():
                     if other != name:
-                        observer.others.note_heard(name, now)
-                        observer.note_elsewhere(name, units, now)
+                        observer.others.note_report(name, now)
+                        observer.note_group_use(name, units, now)
         cut = now + SILENT_SECONDS + 0.01
         left = {
             name: level.get_remaining(cut) for name, level in sides.items()
