--- a/tests/cover/test_crash_ledger.py
+++ b/tests/cover/test_crash_ledger.py
@@ -50,12 +50,12 @@
     return CrashLedger(clock), clock
 
 
-class TestJudgement(unittest.TestCase):
-    def test_three_upstreams_are_enough(self):
+class TestHoldRules(unittest.TestCase):
+    def test_dangerous_after_three_crashes(self):
         self.assertFalse(is_dangerous([0.0, 0.1], succeeded=False))
         self.assertTrue(is_dangerous([0.0, 0.1, 0.1], succeeded=False))
 
-    def test_group_counts_once_for_a_request_that_has_succeeded(self):
+    def test_group_of_crashes_counts_once_after_a_success(self):
         group = [EPISODE_SECONDS * share for share in (0.0, 0.3, 0.6, 1.0)]
         self.assertFalse(is_dangerous(group, succeeded=True))
         again = [time + 5.0 * turn for turn in range(2) for time in group]
@@ -63,7 +63,7 @@
         again.append(20.0)
         self.assertTrue(is_dangerous(again, succeeded=True))
 
-    def test_when_a_trial_is_allowed(self):
+    def test_trial_is_allowed_by_age_and_refusals(self):
         for seconds, refusals, trials, allowed in (
             (0.5, 1000, 0, False),
             (EARLY_TRIAL_SECONDS, TRIAL_REFUSALS, 0, True),
@@ -83,7 +83,7 @@
 
 
 class TestLedger(unittest.TestCase):
-    def test_starts_count_once(self):
+    def test_crash_of_a_start_counts_once(self):
         ledger, _ = make_ledger()
         for _ in range(CRASH_LIMIT):
             ledger.note_crashes(DIGEST, STARTS[:1])
@@ -92,7 +92,7 @@
         ledger.note_crashes(DIGEST, STARTS)
         self.assertTrue(ledger.is_dangerous(DIGEST))
 
-    def test_crashes_that_three_routers_saw_are_three(self):
+    def test_crashes_of_three_routers_are_added_up(self):
         ledger, _ = make_ledger()
         for start in STARTS:
             ledger.merge(CrashItem(DIGEST, [start]))
@@ -104,7 +104,7 @@
         self.assertFalse(ledger.is_dangerous(DIGEST))
         self.assertTrue(ledger.is_dangerous(DIGEST, unconfirmed=1))
 
-    def test_success_clears(self):
+    def test_success_clears_crashes(self):
         ledger, _ = make_ledger()
         ledger.note_crashes(DIGEST, STARTS)
         self.assertTrue(ledger.note_success(DIGEST))
@@ -121,7 +121,7 @@
         known = CrashItem(DIGEST, STARTS, succeeded=True)
         self.assertFalse(ledger.merge(known))
 
-    def test_crashes_end_some_time(self):
+    def test_crashes_expire(self):
         ledger, clock = make_ledger()
         ledger.note_crashes(DIGEST, STARTS)
         clock.advance(HOLD_SECONDS + 1)
@@ -178,11 +178,11 @@
         head = RequestHead(fields.pop('method', 'POST'), target, **fields)
         return build_request_digest(admitted, facts.host, head, body)
 
-    def test_what_makes_no_difference(self):
+    def test_headers_are_not_part_of_the_digest(self):
         headers = (('request-id', 'r2'), ('last-event-id', '7'))
         self.assertEqual(self.build(), self.build(headers=headers))
 
-    def test_what_makes_another_request(self):
+    def test_workspace_method_target_and_body_are_part_of_it(self):
         others = (
             self.build('vault'),
             self.build(''),
--- a/tests/cover/test_crash_replication.py
+++ b/tests/cover/test_crash_replication.py
@@ -34,8 +34,8 @@
 SIZES = (7, 82, 195)
 
 
-class TestFleet(unittest.TestCase):
-    def test_three_crashes_that_three_routers_saw_are_known_to_all(self):
+class TestReplication(unittest.TestCase):
+    def test_crashes_of_three_routers_are_known_to_all(self):
         for routers in SIZES:
             for lost_share in (0.0, 0.1):
                 with self.subTest(routers=routers, lost=lost_share):
@@ -45,10 +45,10 @@
                         fleet.crash(number, number, [DIGEST])
                         fleet.send_updates()
                     known = fleet.count_holding(DIGEST)
-                    # Routers that no message reaches learn of it by the row.
+                    # Routers that receive no message read the row.
                     self.assertGreaterEqual(known, 0.97 * routers)
 
-    def test_crashed_engine_costs_few_messages_however_many_routers(self):
+    def test_message_count_does_not_grow_with_the_fleet(self):
         # Each of 20 routers has one request in progress at the engine.
         for routers in SIZES[1:]:
             with self.subTest(routers=routers):
@@ -70,7 +70,7 @@
         rows = asyncio.run(self.write_all(fleet))
         self.assertEqual(rows, [])
 
-    def test_later_success_clears_it_everywhere(self):
+    def test_later_success_clears_the_request_at_all_routers(self):
         fleet = CrashFleet(82)
         for number in range(3):
             fleet.crash(number, number, [DIGEST])
@@ -117,7 +117,7 @@
         self.holds.schedule_write(digest, 0.0, row)
         asyncio.run(self.holds.write_due())
 
-    def test_hold_ends_some_time_and_can_begin_anew(self):
+    def test_hold_expires_and_can_begin_again(self):
         self.hold(DIGEST)
         self.assertTrue(self.fleet.trackers[0].is_held(DIGEST))
         self.fleet.clock.advance(HOLD_SECONDS + 1)
@@ -138,7 +138,7 @@
         self.assertIsNotNone(self.holds.get(1))
         self.assertIsNone(self.holds.get(100))
 
-    def test_store_that_is_away_is_asked_less_and_less_often(self):
+    def test_retries_at_an_unavailable_store_back_off(self):
         self.fleet.rows.down = True
         times = []
         write_row = self.fleet.rows.write_row
@@ -170,7 +170,7 @@
         self.assertEqual(self.fleet.rows.version, version)
         self.assertEqual(self.holds._due, {})
 
-    def test_row_that_can_not_be_read_holds_nothing(self):
+    def test_invalid_row_holds_no_request(self):
         for key, value in (
             ('held/zz', b'{}'),
             ('held/', b'{}'),
--- a/tests/cover/test_known_limit.py
+++ b/tests/cover/test_known_limit.py
@@ -24,7 +24,7 @@
 
 
 class TestKnownLimit(unittest.TestCase):
-    def test_limit_counts_from_the_first_answer_that_names_it(self):
+    def test_limit_applies_from_the_first_answer_that_reports_it(self):
         known_limit = KnownLimit()
         self.assertIs(
             observe(known_limit, None, 0.0, 1.0), LimitChange.NOTHING
@@ -32,7 +32,7 @@
         self.assertIs(observe(known_limit, 1.2, 0.5, 0.9), LimitChange.LEARNT)
         self.assertEqual(known_limit.rate, 1.2)
 
-    def test_answer_from_before_it_was_named_does_not_end_it(self):
+    def test_request_sent_before_the_report_does_not_end_it(self):
         known_limit = KnownLimit()
         observe(known_limit, 1.2, 1.0, 2.0)
         self.assertIs(
@@ -40,13 +40,13 @@
         )
         self.assertEqual(known_limit.rate, 1.2)
 
-    def test_answer_to_what_was_sent_later_ends_it(self):
+    def test_request_sent_after_the_report_ends_it(self):
         known_limit = KnownLimit()
         observe(known_limit, 1.2, 1.0, 2.0)
         self.assertIs(observe(known_limit, None, 2.0, 3.0), LimitChange.ENDED)
         self.assertIsNone(known_limit.rate)
 
-    def test_answer_in_flight_while_it_ended_does_not_bring_it_back(self):
+    def test_answer_in_flight_does_not_restore_an_ended_limit(self):
         known_limit = KnownLimit()
         observe(known_limit, 1.2, 1.0, 2.0)
         observe(known_limit, None, 2.5, 3.0)
@@ -54,24 +54,24 @@
         self.assertIsNone(known_limit.rate)
         self.assertIs(observe(known_limit, 0.4, 3.0, 3.5), LimitChange.LEARNT)
 
-    def test_lower_limit_counts_if_it_may_be_newer(self):
+    def test_lower_limit_applies_if_it_may_be_newer(self):
         known_limit = KnownLimit()
         observe(known_limit, 5.0, 1.0, 3.0)
         self.assertIs(observe(known_limit, 1.0, 2.0, 2.5), LimitChange.CHANGED)
         self.assertEqual(known_limit.rate, 1.0)
 
-    def test_higher_limit_counts_if_it_surely_is_newer(self):
+    def test_higher_limit_applies_if_it_is_certainly_newer(self):
         known_limit = KnownLimit()
         observe(known_limit, 1.0, 1.0, 3.0)
         self.assertIs(observe(known_limit, 5.0, 2.0, 4.0), LimitChange.NOTHING)
         self.assertIs(observe(known_limit, 5.0, 3.0, 4.0), LimitChange.CHANGED)
 
-    def test_older_word_of_a_lower_limit_is_passed_over(self):
+    def test_older_report_of_a_lower_limit_is_ignored(self):
         known_limit = KnownLimit()
         observe(known_limit, 5.0, 2.0, 3.0)
         self.assertIs(observe(known_limit, 1.0, 0.5, 1.9), LimitChange.NOTHING)
 
-    def test_same_word_in_any_order_changes_nothing(self):
+    def test_repeated_reports_in_any_order_change_nothing(self):
         known_limit = KnownLimit()
         observe(known_limit, 1.0, 1.0, 3.0)
         for begin in (0.0, 1.0, 2.5, 4.0):
--- a/tests/cover/test_limit_permits.py
+++ b/tests/cover/test_limit_permits.py
@@ -40,8 +40,8 @@
     )
 
 
-class TestSum(unittest.TestCase):
-    def test_fullest_window_is_within_the_limit_and_nearly_all_is_used(self):
+class TestRate(unittest.TestCase):
+    def test_busiest_window_is_allowed_and_the_limit_is_used(self):
         for rate in (0.4, 1.2, 10.0, 50.0):
             with self.subTest(rate):
                 times = take_permits(PermitBucket(rate, 1.0, 0.0), 0.0, 60.0)
@@ -49,7 +49,7 @@
                 self.assertLessEqual(count_busiest_window(times), maximum)
                 self.assertGreaterEqual(len(times), 0.9 * 60.0 * rate - 1)
 
-    def test_sides_of_a_cut_together_stay_within_what_is_allowed(self):
+    def test_all_sides_of_a_partition_together_are_allowed(self):
         for rate in (0.4, 1.2, 10.0, 50.0):
             with self.subTest(rate):
                 times = []
@@ -60,44 +60,44 @@
                 maximum = 1.5 * rate * WINDOW_SECONDS + 5
                 self.assertLessEqual(count_busiest_window(times), maximum)
 
-    def test_upstream_that_takes_nothing_is_asked_every_ten_seconds(self):
+    def test_limit_of_zero_permits_one_request_in_ten_seconds(self):
         times = take_permits(PermitBucket(0.0, 1.0, 0.0), 0.0, 60.0)
         self.assertEqual([round(at) for at in times], [10, 20, 30, 40, 50])
 
-    def test_what_was_sent_before_anybody_knew_counts(self):
+    def test_bucket_is_empty_at_first(self):
         self.assertGreater(
             PermitBucket(1.0, 1.0, 5.0).take(SOLE_UPSTREAM, 5.0), 0.9
         )
 
 
 class TestOrder(unittest.TestCase):
-    def test_those_without_another_upstream_come_first(self):
+    def test_requests_without_another_upstream_come_first(self):
         bucket = PermitBucket(1.0, 1.0, 0.0)
         self.assertGreater(bucket.take(SOLE_UPSTREAM, 0.5), 0)
         self.assertGreater(bucket.take(FLEXIBLE, 1.0), 0)
         self.assertEqual(bucket.take(SOLE_UPSTREAM, 1.1), 0)
 
-    def test_permit_that_is_not_fetched_goes_to_others(self):
+    def test_reservation_of_a_permit_expires(self):
         bucket = PermitBucket(1.0, 1.0, 0.0)
         self.assertGreater(bucket.take(SOLE_UPSTREAM, 0.5), 0)
         self.assertEqual(bucket.take(FLEXIBLE, 2.6), 0)
 
-    def test_urgent_ones_come_before_others_and_repeats_last(self):
+    def test_urgent_requests_come_first_and_retries_last(self):
         bucket = PermitBucket(1.0, 1.0, 0.0)
         bucket.take(URGENT, 0.5)
         self.assertGreater(bucket.take(SOLE_UPSTREAM, 1.0), 0)
         self.assertGreater(bucket.take(RETRY, 1.0), 0)
         self.assertEqual(bucket.take(URGENT, 1.0), 0)
 
-    def test_refused_ones_are_told_times_that_lie_apart(self):
+    def test_retry_times_of_refused_requests_are_spread(self):
         bucket = PermitBucket(2.0, 1.0, 0.0)
         waits = [bucket.take(FLEXIBLE, 0.0) for _ in range(4)]
         for wait, expected in zip(waits, (0.5, 1.0, 1.5, 2.0), strict=True):
             self.assertAlmostEqual(wait, expected)
 
 
-class TestGivingBack(unittest.TestCase):
-    def test_regression_all_was_given_back_at_once_when_a_limit_ended(self):
+class TestRecovery(unittest.TestCase):
+    def test_regression_ended_limit_released_all_load_at_once(self):
         bucket = PermitBucket(1.0, 1.0, 0.0)
         take_permits(bucket, 0.0, 10.0)
         bucket.set_rate(None, 10.0)
@@ -112,7 +112,7 @@
         self.assertFalse(bucket.has_recovered(14.0))
         self.assertTrue(bucket.has_recovered(18.0))
 
-    def test_limit_that_rises_is_used_in_steps(self):
+    def test_raised_limit_is_approached_gradually(self):
         bucket = PermitBucket(1.0, 1.0, 0.0)
         take_permits(bucket, 0.0, 10.0)
         bucket.set_rate(50.0, 10.0)
@@ -120,13 +120,13 @@
         take_permits(bucket, 11.0, 6.0)
         self.assertGreaterEqual(len(take_permits(bucket, 17.0, 1.0)), 45)
 
-    def test_limit_that_falls_binds_at_once(self):
+    def test_lowered_limit_applies_at_once(self):
         bucket = PermitBucket(50.0, 1.0, 0.0)
         take_permits(bucket, 0.0, 10.0)
         bucket.set_rate(1.0, 10.0)
         self.assertLessEqual(len(take_permits(bucket, 10.0, 4.0)), 6)
 
-    def test_nothing_is_left_to_give_back_where_nobody_is_refused(self):
+    def test_recovery_ends_early_without_refusals(self):
         bucket = PermitBucket(5.0, 1.0, 0.0)
         bucket.set_rate(None, 10.0)
         self.assertFalse(bucket.has_recovered(13.9))
--- a/tests/cover/test_limit_replication.py
+++ b/tests/cover/test_limit_replication.py
@@ -33,7 +33,7 @@
 PROPAGATION_SECONDS = 0.1
 
 
-class TestLimitsOfRouters(unittest.IsolatedAsyncioTestCase):
+class TestLimitReplication(unittest.IsolatedAsyncioTestCase):
     def setUp(self):
         self.simulation = LimitSimulation(
             LimitScenario(ROUTERS, 1.0, 0.0, upstreams=4)
@@ -64,12 +64,12 @@
     def list_others(self):
         return [n for n in range(ROUTERS) if n != self.get_allocator()]
 
-    async def test_all_know_soon_of_what_one_has_heard(self):
+    async def test_limit_that_one_router_receives_is_known_to_all(self):
         self.receive_answer(3, 1.0)
         await self.simulation.pass_time(PROPAGATION_SECONDS)
         self.assertEqual(self.count_limited(), ROUTERS)
 
-    async def test_limit_that_all_hear_at_once_is_told_once(self):
+    async def test_limit_that_all_receive_at_once_is_broadcast_once(self):
         before = self.simulation.messages
         for router in range(ROUTERS):
             self.receive_answer(router, 1.0)
@@ -77,7 +77,7 @@
         sent = self.simulation.messages - before
         self.assertLessEqual(sent, 3 * ROUTERS)
 
-    async def test_end_that_one_hears_is_given_back_in_steps_by_all(self):
+    async def test_end_that_one_router_receives_starts_recovery_at_all(self):
         self.receive_answer(3, 1.0)
         await self.simulation.pass_time(1.0)
         self.receive_answer(5, None)
@@ -86,29 +86,31 @@
         await self.simulation.pass_time(9.0)
         self.assertEqual(self.count_limited(), 0)
 
-    async def test_regression_new_giver_of_permits_gave_all_back_at_once(self):
+    async def test_regression_restarted_allocator_skipped_the_recovery(self):
         self.receive_answer(3, 1.0)
         await self.simulation.pass_time(1.0)
         self.receive_answer(5, None)
         await self.simulation.pass_time(PROPAGATION_SECONDS)
         self.design.restart(self.get_allocator())
         await self.simulation.pass_time(PROPAGATION_SECONDS)
-        asking = self.list_others()[0]
-        granted = sum([await self._request_permit(asking) for _ in range(40)])
+        querying = self.list_others()[0]
+        granted = sum(
+            [await self._request_permit(querying) for _ in range(40)]
+        )
         self.assertLessEqual(granted, 8)
         self.assertGreaterEqual(granted, 1)
-        self.assertTrue(self.design.is_limited(asking, 0))
+        self.assertTrue(self.design.is_limited(querying, 0))
         await self.simulation.pass_time(11.0)
         self.assertEqual(self.count_limited(), 0)
 
-    async def test_answer_from_before_at_another_router_does_not_end_it(self):
+    async def test_older_answer_at_another_router_does_not_end_a_limit(self):
         self.receive_answer(3, 1.0)
         await self.simulation.pass_time(1.0)
         self.receive_answer(5, None, seconds_ago=2.0)
         await self.simulation.pass_time(6.0)
         self.assertEqual(self.count_limited(), ROUTERS)
 
-    async def test_answer_in_flight_elsewhere_does_not_bring_it_back(self):
+    async def test_older_answer_does_not_restore_an_ended_limit(self):
         self.receive_answer(3, 1.0)
         await self.simulation.pass_time(1.0)
         self.receive_answer(5, None)
@@ -136,14 +138,14 @@
         limits = self.design.limits[number]
         return lambda upstream, end: limits.forget(upstream)
 
-    async def test_second_router_gives_a_quarter_while_the_first_is_away(self):
+    async def test_standby_grants_a_quarter_while_the_primary_is_down(self):
         self.receive_answer(3, 4.0)
         await self.simulation.pass_time(1.0)
         self.simulation.handlers[self.get_allocator()] = lambda data: None
-        asking = self.list_others()[0]
+        querying = self.list_others()[0]
         granted = 0
         for _ in range(400):
-            granted += await self._request_permit(asking)
+            granted += await self._request_permit(querying)
         seconds = 400 * 0.05
         self.assertGreaterEqual(granted, 0.6 * seconds)
         self.assertLessEqual(granted, 1.3 * seconds)
@@ -163,19 +165,19 @@
         await self.simulation.pass_time(0.05)
         return granted
 
-    async def test_router_that_has_missed_the_news_learns_from_its_query(self):
+    async def test_allocator_that_missed_updates_learns_from_a_query(self):
         allocator = self.get_allocator()
         others = self.list_others()
         self.receive_answer(others[0], 1.0)
         await self.simulation.pass_time(PROPAGATION_SECONDS)
-        # As after a restart that received no update of it.
+        # As after a restart without an update of the limit.
         upstream = self.design.get_upstream(allocator, 0)
         self.design.limits[allocator].forget(upstream)
         self.assertFalse(self.design.is_limited(allocator, 0))
         await self._request_permit(others[0])
         self.assertTrue(self.design.is_limited(allocator, 0))
 
-    async def test_fault_is_told_once_and_changes_nothing(self):
+    async def test_fault_is_reported_once_and_changes_nothing(self):
         self.receive_answer(3, 1.0)
         limits = self.design.limits[3]
         upstream = self.design.get_upstream(3, 0)
@@ -188,20 +190,20 @@
         self.assertEqual(len(faults), 1)
         self.assertTrue(limits.is_limited(upstream))
 
-    async def test_news_of_an_unknown_start_are_passed_over(self):
+    async def test_update_of_an_unknown_start_is_ignored(self):
         item = LimitItem(12345, 1.0, 0.1, 0.1)
         self.design.limits[0]._replicator.handle_update(
             LimitUpdate('r1', [item])
         )
         self.assertEqual(len(self.design.limits[0]), 0)
 
-    async def test_messages_that_are_none_are_refused(self):
+    async def test_invalid_messages_are_refused(self):
         for rate in (-1.0, float('nan'), float('inf')):
             update = LimitUpdate('r1', [LimitItem(1, rate, 0.0, 0.0)])
             with self.assertRaises(ValueError):
                 decode_message(msgspec.msgpack.encode(update))
 
-    async def test_start_asks_others_before_it_is_ready(self):
+    async def test_starting_router_is_synced_once_another_answers(self):
         self.receive_answer(3, 1.0)
         await self.simulation.pass_time(PROPAGATION_SECONDS)
         number = self.list_others()[0]
@@ -211,7 +213,7 @@
         self.assertTrue(self.design.limits[number].is_synced())
         self.assertTrue(self.design.is_limited(number, 0))
 
-    async def test_regression_start_heard_limits_before_it_knew_upstreams(
+    async def test_regression_synced_before_upstreams_were_loaded(
         self,
     ):
         self.receive_answer(3, 1.0)
@@ -223,7 +225,7 @@
         self.design.restart(number, lambda: listed)
         await self.simulation.pass_time(0.5)
         self.assertFalse(self.design.limits[number].is_synced())
-        for upstream in range(self.simulation.settings.upstreams):
+        for upstream in range(self.simulation.scenario.upstreams):
             row = self.design.make_row(upstream)
             self.design.directories[number].apply_row(row)
         listed = True
@@ -233,7 +235,7 @@
         self.assertTrue(self.design.is_limited(number, 0))
         self.assertIsNotNone(known.get('p0'))
 
-    async def test_regression_start_was_ready_before_busy_routers_told(self):
+    async def test_regression_synced_before_busy_routers_answered(self):
         self.receive_answer(3, 1.0)
         await self.simulation.pass_time(PROPAGATION_SECONDS)
         number = self.list_others()[0]
@@ -251,7 +253,7 @@
             self.simulation.schedule(seconds, lambda: handle(data))
         )
 
-    async def test_start_whose_first_question_is_lost_asks_again(self):
+    async def test_lost_sync_request_is_repeated(self):
         self.receive_answer(3, 1.0)
         await self.simulation.pass_time(PROPAGATION_SECONDS)
         number = self.list_others()[0]
@@ -267,7 +269,7 @@
         self.assertTrue(self.design.limits[number].is_synced())
         self.assertTrue(self.design.is_limited(number, 0))
 
-    async def test_start_that_nobody_answers_is_ready_soon(self):
+    async def test_sync_times_out_if_no_router_answers(self):
         for number in range(1, ROUTERS):
             self.simulation.handlers[number] = lambda data: None
         self.design.restart(0)
--- a/tests/cover/test_loss_watch.py
+++ b/tests/cover/test_loss_watch.py
@@ -30,10 +30,10 @@
         super().setUp()
         self.watch = LossWatch(self.clock, HEARTBEAT)
         self.crashed = []
-        self.sound = []
+        self.retracted = []
         self.watch.on_crashed = lambda digest, _: self.crashed.append(digest)
-        self.watch.on_crash_retracted = lambda digest, _: self.sound.append(
-            digest
+        self.watch.on_crash_retracted = lambda digest, _: (
+            self.retracted.append(digest)
         )
         self.directory.on_ended = self.watch.note_ended
         self.list('p1')
@@ -50,23 +50,23 @@
         self.clock.advance(seconds)
         self.watch.sweep(lambda start: self.directory.get_start(start))
 
-    def test_lost_connection_alone_is_no_crash(self):
+    def test_aborted_answer_alone_is_no_crash(self):
         self.lose()
         self.assertTrue(self.upstream.reach.is_due(self.clock.monotonic()))
         self.sweep(60.0)
         self.assertEqual(self.crashed, [])
 
-    def test_closed_port_is_a_crash(self):
+    def test_refused_connection_is_a_crash(self):
         self.lose()
         self.watch.note_probed(self.upstream.start, False, True)
         self.assertEqual(self.crashed, [DIGEST])
 
-    def test_silence_at_the_address_is_none(self):
+    def test_connect_timeout_is_no_crash(self):
         self.lose()
         self.watch.note_probed(self.upstream.start, False, False)
         self.assertEqual(self.crashed, [])
 
-    def test_port_that_closes_later_says_nothing(self):
+    def test_connection_refused_later_is_no_crash(self):
         self.lose()
         self.clock.advance(REFUSED_SECONDS + 0.1)
         self.watch.note_probed(self.upstream.start, False, True)
@@ -92,7 +92,7 @@
         self.take('p1', None)
         self.assertEqual(self.crashed, [])
 
-    def test_planned_leave_is_none(self):
+    def test_end_after_draining_is_no_crash(self):
         self.list('p1', state='draining')
         self.lose()
         self.take('p1', None)
@@ -103,35 +103,35 @@
         self.take('p1', None)
         self.assertEqual(self.crashed, [])
 
-    def test_answer_to_what_was_sent_since_is_a_sign_of_life(self):
+    def test_answer_to_a_later_request_retracts_the_crash(self):
         now = self.clock.monotonic()
         self.lose()
         self.clock.advance(0.1)
         # The request was sent before the loss and its answer read after it.
         self.watch.note_answered(self.upstream, now - 0.1)
         self.watch.note_probed(self.upstream.start, False, True)
-        self.assertEqual((self.crashed, self.sound), ([DIGEST], []))
+        self.assertEqual((self.crashed, self.retracted), ([DIGEST], []))
         self.watch.note_answered(self.upstream, now + 0.1)
-        self.assertEqual(self.sound, [DIGEST])
+        self.assertEqual(self.retracted, [DIGEST])
 
-    def test_cut_that_refuses_connections_is_taken_back(self):
+    def test_crash_of_a_start_that_stays_listed_is_retracted(self):
         self.lose()
         self.watch.note_probed(self.upstream.start, False, True)
         self.sweep(60.0)
-        self.assertEqual(self.sound, [DIGEST])
+        self.assertEqual(self.retracted, [DIGEST])
 
-    def test_nothing_is_taken_back_while_the_list_is_not_current(self):
+    def test_nothing_is_retracted_while_the_list_is_not_current(self):
         self.watch.is_list_current = lambda: False
         self.lose()
         self.watch.note_probed(self.upstream.start, False, True)
         self.sweep(60.0)
-        self.assertEqual(self.sound, [])
+        self.assertEqual(self.retracted, [])
         self.watch.is_list_current = lambda: True
         self.take('p1', None)
         self.sweep(1.0)
-        self.assertEqual(self.sound, [])
+        self.assertEqual(self.retracted, [])
 
-    def test_all_that_it_had_under_way_is_told_of(self):
+    def test_all_lost_requests_are_reported_once(self):
         for digest in (1, 2):
             self.lose(digest)
         self.watch.note_probed(self.upstream.start, False, True)
@@ -139,7 +139,7 @@
         self.lose(3)
         self.assertEqual(self.crashed, [1, 2, 3])
 
-    def test_starts_that_are_looked_at_are_bounded(self):
+    def test_watched_starts_are_bounded(self):
         for number in range(2 * MAX_STARTS):
             self.list(f'q{number}')
             self.watch.note_lost(DIGEST, self.directory.get(f'q{number}'))
--- a/tests/cover/test_restored_holds.py
+++ b/tests/cover/test_restored_holds.py
@@ -102,7 +102,7 @@
         self.write_due()
         self.assertIsNone(self.get_row().value)
 
-    def test_regression_request_that_was_lifted_was_held_again(self):
+    def test_regression_lifted_request_was_held_again(self):
         # An undeleted row was treated as a newly written one.
         value = self.take_held_row('one')
         self.tracker.apply_row(VersionedRow(KEY, None, 8))
--- a/tests/cover/test_upstream_limits.py
+++ b/tests/cover/test_upstream_limits.py
@@ -26,19 +26,19 @@
     return LimitScenario(routers, rate, LOAD * routers, **fields)
 
 
-class TestPlayed(unittest.TestCase):
+class TestSimulatedLoad(unittest.TestCase):
     def assert_enforced(self, outcome, used=0.8):
         self.assertLessEqual(outcome.peak, 1.0, outcome)
         self.assertGreaterEqual(outcome.used, used, outcome)
 
-    def test_six_routers_use_the_limits_and_no_more(self):
+    def test_six_routers_use_the_limits_without_exceeding_them(self):
         for rate in (0.4, 1.2, 5.0):
             with self.subTest(rate):
                 outcome = simulate_limits(make_scenario(6, rate))
                 self.assert_enforced(outcome)
                 self.assertEqual(outcome.served, 1.0)
 
-    def test_ninety_routers_use_the_limits_and_no_more(self):
+    def test_ninety_routers_use_the_limits_without_exceeding_them(self):
         for rate in (1.2, 10.0):
             with self.subTest(rate):
                 outcome = simulate_limits(
@@ -53,23 +53,23 @@
         self.assertLessEqual(outcome.peak, 1.0, outcome)
         self.assertEqual(outcome.served, 1.0)
 
-    def test_where_all_upstreams_are_limited_they_get_what_they_take(self):
+    def test_limits_are_used_if_all_upstreams_have_one(self):
         outcome = simulate_limits(make_scenario(6, 1.2, limited=1.0))
         self.assert_enforced(outcome)
 
-    def test_messages_that_get_lost_break_no_limit(self):
+    def test_limits_are_enforced_despite_lost_messages(self):
         for seed in range(3):
             with self.subTest(seed):
                 scenario = make_scenario(23, 1.2, loss=0.2, seed=seed)
                 self.assert_enforced(simulate_limits(scenario), used=0.6)
 
-    def test_cut_between_data_centres_breaks_no_limit(self):
+    def test_limits_are_enforced_during_a_partition(self):
         scenario = make_scenario(24, 1.2, partition=(6.0, 12.0))
         outcome = simulate_limits(scenario)
         self.assert_enforced(outcome, used=0.6)
         self.assertEqual(outcome.served, 1.0)
 
-    def test_regression_upstream_got_all_back_at_once_after_its_limit(self):
+    def test_regression_ended_limit_released_all_load_at_once(self):
         scenario = make_scenario(
             23, 1.2, upstreams=4, limited=0.25, seconds=24.0
         )
--- a/tests/cover/test_usage_caps.py
+++ b/tests/cover/test_usage_caps.py
@@ -82,8 +82,8 @@
     return catalogue.keys['k1'], catalogue.faults
 
 
-class TestReading(unittest.TestCase):
-    def test_tokens_are_read(self):
+class TestConfiguration(unittest.TestCase):
+    def test_cap_in_tokens(self):
         workspace, faults = read_workspace(
             rate_per_s=525032,
             burst=400,
@@ -93,7 +93,7 @@
         cap = UsageCap(525032.0, 400.0, UsageUnit.TOKENS, 200.0)
         self.assertEqual((workspace.cap, faults), (cap, ()))
 
-    def test_no_rate_is_no_limit(self):
+    def test_no_rate_is_no_cap(self):
         for fields in (
             {},
             {'rate_per_s': 0, 'burst': 7},
@@ -104,11 +104,11 @@
                 workspace, faults = read_workspace(**fields)
                 self.assertEqual((workspace.cap, faults), (None, ()))
 
-    def test_a_cap_without_a_burst_has_none(self):
+    def test_burst_defaults_to_zero(self):
         workspace, faults = read_workspace(rate_per_s=7)
         self.assertEqual((workspace.cap, faults), (UsageCap(7.0, 0.0), ()))
 
-    def test_what_can_not_be_used_is_no_limit_and_a_fault(self):
+    def test_invalid_cap_is_no_cap_and_a_fault(self):
         for fields in (
             {'rate_per_s': -1},
             {'rate_per_s': 'many'},
@@ -146,19 +146,19 @@
             cap, burst if level is None else level, self.others, 0.0
         )
 
-    def test_a_large_request_is_served_and_waited_for(self):
+    def test_a_large_request_makes_the_level_negative(self):
         level = self.make({})
         level.take(400.0, 0.0)
         self.assertLess(level.get_remaining(2.9), 0)
         self.assertGreater(level.get_remaining(3.1), 0)
 
-    def test_what_is_given_back_can_be_taken(self):
+    def test_returned_units_are_available(self):
         level = self.make({})
         level.take(100.0, 0.0)
         level.take(-40.0, 0.0)
         self.assertAlmostEqual(level.get_remaining(0.0), 40.0)
 
-    def test_what_others_used_is_gone(self):
+    def test_usage_of_other_routers_is_subtracted(self):
         level = self.make({'b': 1})
         self.others.note_report('b', 0.0)
         level.note_group_use('b', 70.0, 0.0)
@@ -175,7 +175,7 @@
         level.take(25.0, now)
         self.assertAlmostEqual(level.get_remaining(now + 1.0), 25.0, delta=1.0)
 
-    def test_what_was_assumed_is_not_counted_twice(self):
+    def test_assumed_usage_is_not_counted_twice(self):
         level = self.make({'b': 1})
         later = SILENT_SECONDS + 2.0
         level.get_remaining(SILENT_SECONDS + 0.01)
@@ -187,7 +187,7 @@
         level.note_group_use('b', 1000.0, later)
         self.assertLess(level.level, before)
 
-    def test_a_lower_burst_holds_at_once_and_a_higher_one_is_saved_up(self):
+    def test_lower_burst_applies_at_once_and_higher_one_accumulates(self):
         level = self.make({})
         level.set_cap(UsageCap(10.0, 10.0, UsageUnit.TOKENS))
         self.assertAlmostEqual(level.get_remaining(0.0), 10.0)
@@ -195,14 +195,14 @@
         self.assertAlmostEqual(level.get_remaining(0.0), 10.0)
         self.assertAlmostEqual(level.get_remaining(0.5), 60.0)
 
-    def test_a_cap_that_is_lowered_in_a_cut_leaves_a_part(self):
+    def test_cap_that_is_lowered_in_a_partition_leaves_a_share(self):
         level = self.make({'b': 3})
         level.get_remaining(SILENT_SECONDS + 0.01)
         level.set_cap(UsageCap(20.0, 20.0, UsageUnit.TOKENS))
         level.take(level.get_remaining(2.0), 2.0)
         self.assertAlmostEqual(level.get_remaining(3.0), 5.0, delta=0.5)
 
-    def test_flapping_caps_give_out_no_burst_twice(self):
+    def test_flapping_caps_grant_no_burst_twice(self):
         low = UsageCap(10.0, 10.0, UsageUnit.TOKENS)
         high = UsageCap(100.0, 100.0, UsageUnit.TOKENS)
         level = self.make({})
@@ -216,7 +216,7 @@
                 taken += left
         self.assertLessEqual(taken, 100.0 + 4.0 * 100.0)
 
-    def test_refused_callers_come_back_one_after_the_other(self):
+    def test_retry_times_of_refused_callers_are_spread(self):
         level = self.make({'b': 1})
         level.take(150.0, 0.0)
         missing = level.find_shortfall(10.0, level.get_remaining(0.0))
@@ -227,7 +227,7 @@
         self.assertEqual(times, sorted(set(times)))
         self.assertLessEqual(times[-1], times[0] + MAX_SPREAD_SECONDS)
 
-    def test_shares_of_two_sides_come_to_the_rate(self):
+    def test_shares_of_two_sides_add_up_to_the_rate(self):
         source = random.Random(5)
         sides = {'a': self.make({'b': 4}), 'b': self.make({'a': 2})}
         for level in sides.values():
@@ -281,7 +281,7 @@
         )
         self.assertAlmostEqual(total, sum(uses))
 
-    def test_a_pause_begins_a_new_count(self):
+    def test_pause_begins_a_new_count(self):
         counts = UsageCounts()
         counts.add(7, 5.0, 0.0)
         first = counts.get(7).serial
@@ -299,7 +299,7 @@
     def test_first_message_of_a_sender_is_a_baseline(self):
         self.assertIsNone(ReceivedCounts().update(7, 1, 1e6, 0.0))
 
-    def test_a_count_never_goes_down(self):
+    def test_reported_count_never_decreases(self):
         counts = UsageCounts()
         counts.add(7, 5.0, 0.0)
         counts.add(7, -5.0, 0.1)
@@ -307,7 +307,7 @@
         counts.add(7, 6.0, 0.2)
         self.assertEqual(counts.get(7).reported, 6.0)
 
-    def test_a_message_is_bounded(self):
+    def test_entries_of_a_message_are_bounded(self):
         counts = UsageCounts()
         for workspace in range(4300):
             counts.add(workspace, 1.0, 0.0)
@@ -337,26 +337,26 @@
         self.assertIsNone(charge.admit().retry_seconds)
         return charge
 
-    def test_what_is_never_sent_is_given_back(self):
+    def test_unsent_request_is_not_charged(self):
         charge = self.make()
         self.assertAlmostEqual(self.get_remaining(), 900.0)
         charge.settle()
         self.assertAlmostEqual(self.get_remaining(), 1000.0)
 
-    def test_what_was_sent_counts(self):
+    def test_sent_request_is_charged(self):
         charge = self.make()
         charge.note_sent()
         charge.settle()
         self.assertAlmostEqual(self.get_remaining(), 900.0)
 
-    def test_what_an_upstream_turned_away_counts_nothing(self):
+    def test_declined_request_is_not_charged(self):
         charge = self.make()
         charge.note_sent()
         charge.note_not_run()
         charge.settle()
         self.assertAlmostEqual(self.get_remaining(), 1000.0)
 
-    def test_what_another_upstream_runs_after_that_counts_once(self):
+    def test_request_that_runs_after_a_decline_is_charged_once(self):
         charge = self.make()
         charge.note_sent()
         charge.note_not_run()
@@ -364,14 +364,14 @@
         charge.settle()
         self.assertAlmostEqual(self.get_remaining(), 900.0)
 
-    def test_a_second_run_counts_again(self):
+    def test_second_run_is_charged_again(self):
         charge = self.make()
         charge.note_sent()
         charge.note_sent()
         charge.settle()
         self.assertAlmostEqual(self.get_remaining(), 800.0)
 
-    def test_what_is_refused_takes_nothing(self):
+    def test_refused_request_is_not_charged(self):
         self.make(1500).note_sent()
         before = self.get_remaining()
         charge = UsageCharge(self.ledger, self.workspace, 100)
@@ -380,7 +380,7 @@
         charge.settle()
         self.assertAlmostEqual(self.get_remaining(), before)
 
-    def test_a_workspace_without_a_cap_is_not_counted(self):
+    def test_workspace_without_a_cap_is_not_charged(self):
         free = Workspace('free', None, False)
         charge = UsageCharge(self.ledger, free, 10**9)
         self.assertIsNone(charge.admit())
@@ -395,10 +395,10 @@
     def play(self, routers, play, design=SharedLevels):
         return CapPlay(routers, play, 1).run(design)
 
-    def test_load_breaks_the_cap_where_nothing_is_counted(self):
+    def test_load_exceeds_the_cap_without_enforcement(self):
         self.assertGreater(self.play(23, Play(HOT), NoCaps).most, 1.5)
 
-    def test_equal_shares_refuse_what_is_below_the_cap(self):
+    def test_equal_shares_refuse_load_below_the_cap(self):
         calm = self.play(23, Play(CALM), EqualShares)
         self.assertGreater(calm.refused, 0.05)
 
@@ -420,7 +420,7 @@
             self.assertLessEqual(outcome.most, 1.0, routers)
             self.assertLessEqual(outcome.refused, MAX_WRONGLY_REFUSED, routers)
 
-    def test_half_of_the_cap_is_served_whatever_is_cut(self):
+    def test_half_of_the_cap_is_served_in_any_partition(self):
         half = tuple(0.9 * load for load in CALM)
         for routers in ROUTERS:
             with self.subTest(routers=routers):
@@ -428,7 +428,7 @@
                 outcome = self.play(routers, play)
                 self.assertLessEqual(outcome.refused, MAX_WRONGLY_REFUSED)
 
-    def test_hot_workspace_gets_its_cap_and_no_more(self):
+    def test_hot_workspace_uses_its_cap_without_exceeding_it(self):
         for routers in ROUTERS:
             for name, play in {
                 'in touch': Play(HOT),
@@ -440,7 +440,7 @@
                     self.assertLessEqual(outcome.most, 1.0)
                     self.assertGreaterEqual(outcome.given, MIN_GIVEN)
 
-    def test_hot_workspace_in_two_parts(self):
+    def test_hot_workspace_during_a_partition(self):
         for routers in ROUTERS:
             for begin in (2.0, 3.0, 6.0):
                 with self.subTest(routers=routers, begin=begin):
@@ -449,7 +449,7 @@
                     self.assertLessEqual(outcome.most, 1.0)
                     self.assertGreaterEqual(outcome.given, MIN_GIVEN_CUT)
 
-    def test_all_killed_in_the_hot_second(self):
+    def test_all_routers_killed_under_high_load(self):
         for routers in ROUTERS:
             with self.subTest(routers=routers):
                 outcome = self.play(routers, Play(HOT, killed_at=4.0))
@@ -483,7 +483,7 @@
         outcome = CapPlay(12, play, seed).run(SharedLevels)
         self.assertLessEqual(outcome.most, 1.0)
 
-    def test_restarts_while_a_load_is_hot(self):
+    def test_restarts_under_high_load(self):
         for cut in ((0.0, 0.0), (2.0, 8.0)):
             for restarts in (1, 3):
                 with self.subTest(cut=cut, restarts=restarts):
@@ -491,7 +491,7 @@
                     outcome = CapPlay(12, play, 1).run(SharedLevels)
                     self.assertLessEqual(outcome.most, 1.0)
 
-    def test_restarts_in_four_parts_that_lose_a_third_of_what_is_told(self):
+    def test_restarts_in_four_partitions_that_lose_messages(self):
         # At this value, the partition begins after the first messages.
         begin = 3.1953318615308973e-301
         play = Play(
--- a/tests/nocover/test_crash_soak.py
+++ b/tests/nocover/test_crash_soak.py
@@ -32,7 +32,7 @@
 import unittest
 
 from tests.support.crash_soak import CrashOutcome
-from tests.support.crash_soak import play
+from tests.support.crash_soak import run_seed
 from tests.support.router_play import play_by_hand
 
 # With seed 10 every upstream crashes under other requests in the first 0.6 s,
@@ -56,10 +56,10 @@
     async def test_dangerous_requests_are_held_and_no_others(self):
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                outcome = await play(seed)
+                outcome = await run_seed(seed)
                 self.assertEqual(outcome.faults, [], format_outcome(outcome))
                 self.assertGreater(outcome.served, 0)
 
 
 if __name__ == '__main__':
-    sys.exit(play_by_hand(play, format_outcome))
+    sys.exit(play_by_hand(run_seed, format_outcome))
--- a/tests/nocover/test_crashing_requests.py
+++ b/tests/nocover/test_crashing_requests.py
@@ -12,15 +12,13 @@
 
 """Tests of requests that crash every upstream that runs them.
 
-They guard against repeated outages of several seconds in which no engine was
-left and every request was refused or failed. A request crashed its engine and
-then a second one, at which its router retried it. Its caller then retried it
-at another router, which did the same, and again 11 s later. Routers discarded
-the crashes at the end of the request, attributed failures to the upstream
-alone and did not exchange them. With three routers and ten upstreams, one
-request sent 22 times crashed an upstream 44 times, two per send, even after
-all routers had been replaced; the digests in the log showed that it was always
-the same request.
+They guard against repeated outages of several seconds in which one request
+crashed all engines. Its router retried it at a second engine, and its caller
+at another router, again 11 s later. Routers discarded the crashes at the end
+of the request, attributed them to the upstream alone and did not exchange
+them. With three routers and ten upstreams, one request (by the digests in the
+log) sent 22 times crashed an upstream 44 times, two per send, even after all
+routers had been replaced.
 """
 
 import asyncio
@@ -45,11 +43,11 @@
 
 NAMES = ('front-a-1', 'front-a-2', 'front-a-3')
 UPSTREAMS = 8
-# Routers that reach each other and the store know of a crash after this time.
+# Routers that reach each other and the store know of a crash within this time.
 CONTACT_SECONDS = 3.0
 LIMIT = 3
 # Longer than the routers take to exchange crash records.
-TURN_SECONDS = 2.0
+ATTEMPT_SECONDS = 2.0
 MAX_TRIES = 5
 
 
@@ -106,11 +104,11 @@
     listener, so the number of sends varies.
     """
     routers = [fleet.router for fleet in fleets]
-    for turn in itertools.count():
+    for attempt in itertools.count():
         for number, fleet in enumerate(fleets):
-            await send_fatal(fleet, f'first-{turn}-{number}', route)
+            await send_fatal(fleet, f'first-{attempt}-{number}', route)
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(TURN_SECONDS):
+            async with asyncio.timeout(ATTEMPT_SECONDS):
                 await wait_until(lambda: all(map(list_dangerous, routers)))
                 return
 
@@ -131,8 +129,8 @@
         fleet.router.crashes.replicator.send = lambda update, key: None
 
 
-class TestFleet(unittest.IsolatedAsyncioTestCase):
-    async def test_regression_request_that_crashed_three_runs_no_more(self):
+class TestHolding(unittest.IsolatedAsyncioTestCase):
+    async def test_regression_request_that_crashed_three_upstreams_ran(self):
         async with run_routers() as (fleets, upstreams):
             for number, fleet in enumerate(fleets[:2]):
                 await send_fatal(fleet, f'first-{number}')
@@ -140,8 +138,8 @@
             await asyncio.sleep(CONTACT_SECONDS)
             before = count_crashes(upstreams)
             answers = [
-                await send_fatal(fleet, f'again-{number}-{turn}')
-                for turn in range(2)
+                await send_fatal(fleet, f'again-{number}-{attempt}')
+                for attempt in range(2)
                 for number, fleet in enumerate(fleets)
             ]
             after = count_crashes(upstreams)
@@ -153,7 +151,7 @@
         self.assertEqual({answer.status for answer in answers}, {503})
         self.assertEqual({answer.status for answer in others}, {200})
 
-    async def test_crashes_that_three_routers_saw_are_added_up(self):
+    async def test_crashes_of_three_routers_are_added_up(self):
         async with run_routers() as (fleets, upstreams):
             await make_dangerous(fleets, 'once')
             self.assertEqual(count_crashes(upstreams), LIMIT)
@@ -163,7 +161,7 @@
         self.assertIn(b'"ran":"not run"', answer.body)
         self.assertNotIn('retry-after', dict(answer.headers))
 
-    async def test_row_alone_is_enough(self):
+    async def test_row_suffices_without_datagrams(self):
         async with run_routers() as (fleets, upstreams):
             drop_datagrams(fleets)
             for number in range(2):
@@ -175,7 +173,7 @@
                 await send_fatal(fleet, 'again')
             self.assertEqual(count_crashes(upstreams), before)
 
-    async def test_datagrams_are_enough_while_the_store_is_away(self):
+    async def test_datagrams_suffice_while_the_store_is_unavailable(self):
         async with run_routers() as (fleets, upstreams):
             store = fleets[0].store
             store.writable.clear()
@@ -250,7 +248,9 @@
 
 
 class TestNewRouter(unittest.IsolatedAsyncioTestCase):
-    async def test_router_that_starts_after_all_were_gone_knows(self):
+    async def test_router_that_starts_after_all_stopped_holds_the_request(
+        self,
+    ):
         async with run_routers() as (fleets, upstreams):
             await make_dangerous(fleets)
             store = fleets[0].store
@@ -269,7 +269,7 @@
                 await newcomer.stop()
         self.assertEqual(answer.status, 503)
 
-    async def test_router_is_not_ready_before_it_has_read_what_is_held(self):
+    async def test_router_is_not_ready_before_it_has_read_the_holds(self):
         async with run_routers() as (fleets, upstreams):
             store = fleets[0].store
             newcomer = make_router(store.address, PROMISES, 'front-a-9')
@@ -313,7 +313,7 @@
             await send_fatal(fleets[0], 'again')
             self.assertGreater(count_crashes(upstreams), before)
 
-    async def test_held_request_may_run_once_more_in_the_whole_fleet(self):
+    async def test_trial_is_granted_once_in_the_whole_fleet(self):
         async with run_routers() as (fleets, upstreams):
             await make_dangerous(fleets)
             holds = [fleet.router.crashes.holds for fleet in fleets]
@@ -330,7 +330,7 @@
                 )
             self.assertEqual(count_crashes(upstreams), before + 1)
 
-    async def test_request_that_succeeds_then_is_released(self):
+    async def test_request_that_succeeds_at_its_trial_is_released(self):
         async with run_routers() as (fleets, upstreams):
             await make_dangerous(fleets)
             holds = [fleet.router.crashes.holds for fleet in fleets]
--- a/tests/nocover/test_held_command.py
+++ b/tests/nocover/test_held_command.py
@@ -71,7 +71,7 @@
             code = main(['held', '--settings', str(self.path), *arguments])
         return code, out.getvalue()
 
-    def test_lists_what_is_held(self):
+    def test_lists_held_requests(self):
         code, text = self.run_command()
         self.assertEqual(code, 0)
         self.assertIn('cae714bdfb5ae264', text)
@@ -79,7 +79,7 @@
         code, text = self.run_command('--json')
         self.assertEqual(msgspec.json.decode(text)['workspace'], 'acme')
 
-    def test_lifts_one(self):
+    def test_lifts_one_hold(self):
         code, text = self.run_command('--lift', 'cae714bdfb5ae264')
         self.assertEqual((code, text), (0, 'cae714bdfb5ae264: lifted\n'))
         row = self.store.rows.get(FLEET_TABLE, build_key(DIGEST))
@@ -88,7 +88,7 @@
         self.assertEqual(code, 1)
         self.assertIn('is not held', text)
 
-    def test_row_that_can_not_be_read_hides_no_other(self):
+    def test_invalid_row_hides_no_other(self):
         self.store.rows.put(FLEET_TABLE, build_key(7), b'{')
         code, text = self.run_command()
         self.assertEqual(code, 0)
--- a/tests/nocover/test_limit_soak.py
+++ b/tests/nocover/test_limit_soak.py
@@ -17,11 +17,11 @@
 paused, and a store that at times does not answer writes. The check uses what
 callers and upstreams observed: from three seconds after an upstream began to
 report limits, and half a second after it reported another one, no window of
-four seconds may hold more than one and a half times the limit plus five
+four seconds may have more than one and a half times the limit plus five
 requests from routers that were not paused recently, whether or not they had
 received an answer with the limit.
 
-To run more seeds; the exit code is 1 if a rule was broken::
+To run more seeds by hand; the exit code is 1 if a rule was violated::
 
     python -m tests.nocover.test_limit_soak --seeds 20
 """
@@ -47,7 +47,7 @@
 
 
 class TestSoak(unittest.IsolatedAsyncioTestCase):
-    async def test_no_window_holds_more_than_limits_allow(self):
+    async def test_no_window_has_more_requests_than_allowed(self):
         for seed in SEEDS:
             with self.subTest(seed=seed):
                 outcome = await run_seed(seed)
--- a/tests/nocover/test_limits_command.py
+++ b/tests/nocover/test_limits_command.py
@@ -37,18 +37,18 @@
     def setUp(self):
         clock = ManualClock(START)
         clock.advance(20.0)
-        given = LimitState('p1@17', 1, 'a')
-        given.known_limit.update(LimitObservation(1.2, 10.0, 17.5))
-        given.bucket = PermitBucket(1.2, 1.0, 0.0)
-        given.bucket.take(0, 5.0)
+        granting = LimitState('p1@17', 1, 'a')
+        granting.known_limit.update(LimitObservation(1.2, 10.0, 17.5))
+        granting.bucket = PermitBucket(1.2, 1.0, 0.0)
+        granting.bucket.take(0, 5.0)
         other = LimitState('p2@17', 2, 'b')
         other.known_limit.update(LimitObservation(0.4, 10.0, 19.0))
         ended = LimitState('p3@17', 3, 'b', recovering=True)
         ended.known_limit.ended_at = 18.0
-        self.limits = [ended, other, given]
-        door = MetricsHandler(FleetMetrics(), self.limits, clock)
+        self.limits = [ended, other, granting]
+        handler = MetricsHandler(FleetMetrics(), self.limits, clock)
         self.loop = asyncio.new_event_loop()
-        self.server = HttpServer(door.handle, HttpLimits())
+        self.server = HttpServer(handler.handle, HttpLimits())
         self.address = self.loop.run_until_complete(
             self.server.start(Address('127.0.0.1', 0))
         )
@@ -71,7 +71,7 @@
             code = main(['limits', *arguments])
         return code, out.getvalue()
 
-    def test_lists_what_is_in_force_with_its_age(self):
+    def test_lists_limits_in_force_with_their_ages(self):
         code, text = self.run_command(str(self.address))
         self.assertEqual(code, 0)
         rows = [line.split() for line in text.splitlines()[1:]]
@@ -84,13 +84,13 @@
             ],
         )
 
-    def test_router_that_is_not_there_hides_no_other(self):
+    def test_unreachable_router_hides_no_other(self):
         code, text = self.run_command('127.0.0.1:1', str(self.address))
         self.assertEqual(code, 2)
         self.assertIn('see whether a router serves metrics', text)
         self.assertIn('p1@17', text)
 
-    def test_address_that_is_none_is_told(self):
+    def test_invalid_address_is_reported(self):
         code, text = self.run_command('somewhere')
         self.assertEqual(code, 2)
         self.assertIn('write HOST:PORT', text)
--- a/tests/nocover/test_upstream_limits.py
+++ b/tests/nocover/test_upstream_limits.py
@@ -32,8 +32,8 @@
 CONTACT_SECONDS = 3.0
 
 
-class TestSumOverRouters(unittest.IsolatedAsyncioTestCase):
-    async def test_regression_limit_was_kept_by_no_router(self):
+class TestEnforcement(unittest.IsolatedAsyncioTestCase):
+    async def test_regression_limit_was_ignored(self):
         async with run_limited_fleet() as fleet:
             await fleet.load(24, 40.0)
             limits = dict(zip(fleet.list_busiest(), RATES, strict=False))
@@ -52,8 +52,8 @@
             self.assertLessEqual(late_peak, compute_allowance(rate), name)
 
 
-class TestWhereNothingElseIsLeft(unittest.IsolatedAsyncioTestCase):
-    async def test_what_no_upstream_takes_is_refused_at_once_as_not_run(self):
+class TestAllUpstreamsLimited(unittest.IsolatedAsyncioTestCase):
+    async def test_request_beyond_the_limits_is_refused_as_not_run(self):
         async with run_limited_fleet(routers=2, upstreams=2) as fleet:
             for upstream in fleet.upstreams.values():
                 upstream.limit = '0.4'
@@ -72,7 +72,7 @@
         self.assertGreater(len(waits), len(refused) // 2)
         self.assertGreater(min(map(float, waits)), 0.01)
 
-    async def test_upstream_that_takes_nothing_is_left_alone(self):
+    async def test_upstream_with_a_limit_of_zero_is_avoided(self):
         async with run_limited_fleet(routers=2, upstreams=2) as fleet:
             await fleet.load(8, 40.0)
             busiest = fleet.upstreams[fleet.list_busiest()[0]]
@@ -85,18 +85,18 @@
         self.assertLessEqual(after - before, 1)
 
 
-class TestSecondSends(unittest.IsolatedAsyncioTestCase):
-    async def test_they_go_to_upstreams_without_a_limit(self):
+class TestRetries(unittest.IsolatedAsyncioTestCase):
+    async def test_retries_go_to_upstreams_without_a_limit(self):
         async with run_limited_fleet(routers=1, upstreams=3) as fleet:
             await fleet.load(6, 40.0)
-            limited, full, sound = fleet.list_busiest()
+            limited, full, healthy = fleet.list_busiest()
             fleet.upstreams[limited].limit = '20'
             await fleet.load(6, 40.0)
             script = fleet.upstreams[full].script
             script.extend([Behaviour.DECLINE] * 100)
-            # The sound upstream appears slow, so it is never the first choice.
+            # The healthy upstream seems slow, so it is never the first choice.
             router = fleet.routers[0]
-            router.directory.get(sound).first_byte_seconds = 5.0
+            router.directory.get(healthy).first_byte_seconds = 5.0
             router.directory.get(limited).first_byte_seconds = 1.0
             before = {
                 name: len(upstream.arrivals)
@@ -109,11 +109,11 @@
             }
         self.assertEqual({answer.status for answer in answers}, {200})
         self.assertEqual(
-            arrived, {limited: 0, full: 8, sound: 8}, 'second sends'
+            arrived, {limited: 0, full: 8, healthy: 8}, 'second sends'
         )
 
 
-class TestWhatNamesALimit(unittest.IsolatedAsyncioTestCase):
+class TestReportedLimit(unittest.IsolatedAsyncioTestCase):
     @contextlib.asynccontextmanager
     async def run_with(self, name, limit='1.5'):
         async with run_fleet() as fleet:
@@ -122,11 +122,11 @@
 
     def list_limited(self, fleet):
         return {
-            held.start.partition('@')[0]: held.known_limit.rate
-            for held in fleet.router.limits
+            limit.start.partition('@')[0]: limit.known_limit.rate
+            for limit in fleet.router.limits
         }
 
-    async def test_each_answer_to_a_request_does(self):
+    async def test_limit_is_read_from_every_answer(self):
         for behaviour in (
             Behaviour.GOOD,
             Behaviour.DECLINE,
@@ -142,21 +142,21 @@
                             break
                     self.assertEqual(self.list_limited(fleet), {'p1': 1.5})
 
-    async def test_head_of_a_stream_does(self):
+    async def test_limit_is_read_from_the_head_of_a_stream(self):
         async with run_fleet() as fleet:
             for name in ('e1', 'e2'):
                 fleet.upstreams[name].limit = '2'
             await fleet.generate('text')
             self.assertEqual(set(self.list_limited(fleet).values()), {2.0})
 
-    async def test_report_and_answer_to_an_order_do(self):
+    async def test_limit_is_read_from_reports_and_order_answers(self):
         async with self.run_with('e1') as fleet:
             control = PlatformEngineControl(fleet.clock, 0.5)
             control.note_limit = fleet.router.limits.note_answer
             await control.read_state(fleet.router.directory.get('e1'))
             self.assertEqual(self.list_limited(fleet), {'e1': 1.5})
 
-    async def test_answer_without_its_mark_does_not(self):
+    async def test_limit_of_an_unstamped_answer_is_ignored(self):
         async with self.run_with('p1') as fleet:
             for name in ('p1', 'p2'):
                 fleet.upstreams[name].limit = '1.5'
@@ -164,7 +164,7 @@
             await fleet.call('/once/a')
             self.assertEqual(self.list_limited(fleet), {})
 
-    async def test_value_that_is_no_rate_takes_nothing_from_its_request(self):
+    async def test_invalid_limit_does_not_affect_the_request(self):
         async with run_fleet() as fleet:
             for name in ('p1', 'p2'):
                 fleet.upstreams[name].limit = '-1'
@@ -181,7 +181,7 @@
         self.assertEqual(limited, {})
         self.assertIn(refused, (1.0, 2.0))
 
-    async def test_start_that_is_gone_is_believed_nothing_of(self):
+    async def test_limit_of_a_removed_start_is_dropped(self):
         async with self.run_with('p1') as fleet:
             while not self.list_limited(fleet):
                 await fleet.call('/safe/a')
@@ -189,7 +189,7 @@
             fleet.store.remove('servers', 'p1')
             await wait_until(lambda: not self.list_limited(fleet))
 
-    async def test_gauges_and_counters_tell_of_it(self):
+    async def test_limit_is_shown_in_the_metrics(self):
         async with run_fleet() as fleet:
             for name in ('p1', 'p2'):
                 fleet.upstreams[name].limit = '0.5'
@@ -202,7 +202,7 @@
             self.assertGreaterEqual(refused, 1.0)
 
 
-class TestRouterThatStarts(unittest.IsolatedAsyncioTestCase):
+class TestStartingRouter(unittest.IsolatedAsyncioTestCase):
     async def test_limits_are_known_once_it_is_ready(self):
         async with run_limited_fleet(routers=3, upstreams=2) as fleet:
             await fleet.load(9, 40.0)
@@ -215,7 +215,7 @@
                 await router.start()
                 try:
                     await wait_until(router.is_ready)
-                    known = {held.known_limit.rate for held in router.limits}
+                    known = {limit.known_limit.rate for limit in router.limits}
                 finally:
                     await router.stop()
         self.assertEqual(known, {0.7})
--- a/tests/nocover/test_usage_caps.py
+++ b/tests/nocover/test_usage_caps.py
@@ -64,7 +64,7 @@
         ]
         self.assertTrue(all(wait > 0 for wait in waits), waits)
 
-    async def test_plain_requests_count_as_the_operator_says(self):
+    async def test_plain_requests_are_charged_the_configured_units(self):
         async with run_fleet(PROMISES) as fleet:
             await cap_workspace(fleet)
             statuses = [
@@ -81,7 +81,7 @@
             served = await fleet.generate('text', key='k3', request_id='r3')
         self.assertEqual((refused.status, served.status), (429, 200))
 
-    async def test_what_engines_turn_away_counts_nothing(self):
+    async def test_declined_requests_are_not_charged(self):
         async with run_fleet(PROMISES) as fleet:
             await cap_workspace(fleet)
             for name in ENGINES:
@@ -96,7 +96,7 @@
         self.assertNotEqual(refused.status, 200)
         self.assertEqual(statuses, [200, 200, 429])
 
-    async def test_stream_that_goes_on_elsewhere_counts_twice(self):
+    async def test_stream_resumed_at_another_engine_is_charged_twice(self):
         async with run_fleet(PROMISES) as fleet:
             await fleet.generate('text', request_id='r0')
             home = next(name for name in ENGINES if fleet.upstreams[name].runs)
@@ -108,7 +108,7 @@
         self.assertEqual((first.status, runs), (200, 3))
         self.assertEqual(second.status, 429)
 
-    async def test_refused_request_is_counted_and_told(self):
+    async def test_refused_request_is_counted_in_the_metrics(self):
         async with run_fleet(PROMISES) as fleet:
             await cap_workspace(fleet, burst=1)
             await fleet.generate('text')
--- a/tests/support/crash_soak.py
+++ b/tests/support/crash_soak.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""One soak run of requests that crash upstreams while routers die."""
+"""Soak of requests that crash upstreams, while routers are killed."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -37,7 +37,7 @@
 CALLERS = 6
 UPSTREAMS = 6
 ROUTERS = 3
-PLAY_SECONDS = 12.0
+SOAK_SECONDS = 12.0
 HELD = b'crashes_upstreams'
 # Maximum duration of a false hold. A popular request that has not succeeded
 # yet can't be distinguished from a dangerous one if three upstreams crash
@@ -104,10 +104,10 @@
         await super()._run(connection, head, behaviour)
 
 
-class CrashPlay(RouterPlay[CrashOutcome, RecordingUpstream]):
-    """Runs the soak with one seed."""
+class CrashSoak(RouterPlay[CrashOutcome, RecordingUpstream]):
+    """Runs one seed."""
 
-    seconds = PLAY_SECONDS
+    seconds = SOAK_SECONDS
     router_count = ROUTERS
     upstream_count = UPSTREAMS
 
@@ -198,6 +198,6 @@
         return outcome
 
 
-async def play(seed: int) -> CrashOutcome:
+async def run_seed(seed: int) -> CrashOutcome:
     """Run one seed and return its outcome."""
-    return await play_seed(CrashPlay, seed)
+    return await play_seed(CrashSoak, seed)
--- a/tests/support/limit_simulation.py
+++ b/tests/support/limit_simulation.py
@@ -63,7 +63,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class LimitScenario:
-    """Settings of a simulation.
+    """A simulated load, and the limits that upstreams report.
 
     :ivar rate: requests per second that each limited upstream reports.
     :ivar limited: fraction of the upstreams that report a limit.
@@ -166,7 +166,7 @@
             return True
         rate, level, at = known
         now = self.simulation.clock.monotonic()
-        share = rate / self.simulation.settings.routers
+        share = rate / self.simulation.scenario.routers
         level = min(level + (now - at) * share, 1.0 + share / 4)
         granted = level >= 1.0
         level -= granted
@@ -196,9 +196,9 @@
         self.directories: list[UpstreamDirectory] = []
         self._rows = MemoryRows()
         self._tasks = []
-        for number in range(simulation.settings.routers):
+        for number in range(simulation.scenario.routers):
             self.directories.append(
-                self.make_directory(simulation.settings.upstreams)
+                self.make_directory(simulation.scenario.upstreams)
             )
             self.limits.append(self._start(number))
 
@@ -233,7 +233,7 @@
             self._rows, simulation.clock, f'r{number}', data_centre
         )
         roster.loaded = True
-        for other in range(simulation.settings.routers):
+        for other in range(simulation.scenario.routers):
             row = RouterRow(simulation.get_data_centre(other), '127.0.0.1:9')
             value = msgspec.json.encode(row)
             roster.apply_row(VersionedRow(f'router/r{other}', value, 1))
@@ -307,22 +307,22 @@
     """Simulates one load on a number of routers and upstreams."""
 
     def __init__(
-        self, settings: LimitScenario, design: type[LimitDesign] = Permits
+        self, scenario: LimitScenario, design: type[LimitDesign] = Permits
     ) -> None:
-        self.settings = settings
+        self.scenario = scenario
         self.clock = ManualClock(START)
-        self.source = random.Random(settings.seed)
+        self.source = random.Random(scenario.seed)
         self.handlers: dict[int, object] = {}
         self.messages = 0
         self._design = design
         self._numbers = itertools.count()
         self._due: list[tuple[float, int, object]] = []
         self._arrivals: dict[int, list[tuple[float, bool]]] = {}
-        # When each router first received an answer that reports a limit.
+        # When each router first received an answer with each upstream's limit.
         self._reported_at: dict[tuple[int, int], float] = {}
         self._requests = 0
         self._served = 0
-        self._limited = max(round(settings.limited * settings.upstreams), 1)
+        self._limited = max(round(scenario.limited * scenario.upstreams), 1)
 
     def get_data_centre(self, number: int) -> str:
         """Return the data centre of a router or an upstream."""
@@ -332,9 +332,9 @@
         """Deliver a message after a delay, or lose it."""
         self.messages += 1
         is_local = self.get_data_centre(router) == self.get_data_centre(other)
-        begin, end = self.settings.partition
+        begin, end = self.scenario.partition
         partitioned = begin <= self.clock.monotonic() < end and not is_local
-        if partitioned or self.source.random() < self.settings.loss:
+        if partitioned or self.source.random() < self.scenario.loss:
             return
         data = encode_message(message)
         delay = LOCAL_DELAY_SECONDS if is_local else REMOTE_DELAY_SECONDS
@@ -347,10 +347,10 @@
 
     def get_reported_rate(self, upstream: int) -> float | None:
         """Return the limit that an upstream reports now."""
-        begin, end = self.settings.reporting
+        begin, end = self.scenario.reporting
         now = self.clock.monotonic()
         is_reporting = upstream < self._limited and begin <= now < end
-        return self.settings.rate if is_reporting else None
+        return self.scenario.rate if is_reporting else None
 
     async def run(self) -> Outcome:
         """Run the simulation and return its outcome."""
@@ -358,8 +358,8 @@
         started_at = time.process_time()
         requests = set()
         await self._run_tasks()
-        while self.clock.monotonic() < self.settings.seconds:
-            expected = self.settings.per_second * STEP_SECONDS
+        while self.clock.monotonic() < self.scenario.seconds:
+            expected = self.scenario.per_second * STEP_SECONDS
             for _ in range(self._draw(expected)):
                 task = asyncio.create_task(self._request(design))
                 requests.add(task)
@@ -397,8 +397,8 @@
 
     async def _request(self, design: LimitDesign) -> None:
         self._requests += 1
-        router = self.source.randrange(self.settings.routers)
-        order = list(range(self.settings.upstreams))
+        router = self.source.randrange(self.scenario.routers)
+        order = list(range(self.scenario.upstreams))
         self.source.shuffle(order)
         free = [n for n in order if not design.is_limited(router, n)]
         for upstream in order:
@@ -427,10 +427,10 @@
         design.note_answer(router, upstream, rate, sent_at)
 
     def _summarize(self, cpu_seconds: float) -> Outcome:
-        settings = self.settings
-        begin, end = settings.reporting
-        end = min(end, settings.seconds)
-        allowed = ALLOWED_SHARE * settings.rate * WINDOW_SECONDS
+        scenario = self.scenario
+        begin, end = scenario.reporting
+        end = min(end, scenario.seconds)
+        allowed = ALLOWED_SHARE * scenario.rate * WINDOW_SECONDS
         allowed += ALLOWED_SLACK
         outcome = Outcome()
         used = 0
@@ -450,20 +450,20 @@
             used += sum(begin + 2 <= at < end for at, _ in arrivals)
             for at, _ in arrivals:
                 outcome.by_second[int(at)] += 1
-        most = settings.rate * (end - begin - 2) * self._limited
-        outcome.used = used / most if most else 0.0
+        permitted = scenario.rate * (end - begin - 2) * self._limited
+        outcome.used = used / permitted if permitted else 0.0
         outcome.served = self._served / max(self._requests, 1)
-        outcome.messages = self.messages / settings.seconds
+        outcome.messages = self.messages / scenario.seconds
         outcome.microseconds = cpu_seconds / max(self._requests, 1) * 1e6
         return outcome
 
 
 def simulate_limits(
-    settings: LimitScenario, design: type[LimitDesign] = Permits
+    scenario: LimitScenario, design: type[LimitDesign] = Permits
 ) -> Outcome:
     """Simulate one load."""
 
     async def run() -> Outcome:
-        return await LimitSimulation(settings, design).run()
+        return await LimitSimulation(scenario, design).run()
 
     return asyncio.run(run())
--- a/tests/support/limit_soak.py
+++ b/tests/support/limit_soak.py
@@ -34,7 +34,7 @@
 UPSTREAMS = 5
 CALLERS = 8
 CALL_PAUSE_SECONDS = 0.15
-PLAY_SECONDS = 16.0
+SOAK_SECONDS = 16.0
 RATES = (0.0, 0.3, 1.2, 4.0, 10.0)
 # How soon all connected routers must enforce a limit.
 CONTACT_SECONDS = 3.0
@@ -89,15 +89,15 @@
 class LimitSoak(RouterPlay[LimitOutcome, LimitedUpstream]):
     """Runs one seed."""
 
-    seconds = PLAY_SECONDS
+    seconds = SOAK_SECONDS
     router_count = ROUTERS
     upstream_count = UPSTREAMS
 
     def __init__(self, seed: int, folder: pathlib.Path) -> None:
         super().__init__(seed, folder)
-        # The process instance of the router that each request was sent to.
-        self._lives_by_request: dict[str, str] = {}
-        # When each process instance was last paused or resumed.
+        # Which start of a router each request was sent to.
+        self._starts_by_request: dict[str, str] = {}
+        # When each start of a router was last paused or resumed.
         self._disturbed_at: dict[str, float] = {}
         self._outcome = LimitOutcome(seed)
 
@@ -120,7 +120,7 @@
         while not self._done.is_set():
             router = source.choice(self._routers)
             name = f'{source.getrandbits(64):x}'
-            self._lives_by_request[name] = router.life.name
+            self._starts_by_request[name] = router.life.name
             answer = await call_router(SoakCall(router.address, name))
             outcome.calls += 1
             if answer is None:
@@ -206,20 +206,20 @@
         assert reported.rate is not None, 'only limits are checked'
         allowed = compute_allowance(reported.rate)
         for first in counted:
-            held = sum(first <= at < first + WINDOW_SECONDS for at in counted)
+            count = sum(first <= at < first + WINDOW_SECONDS for at in counted)
             self._outcome.windows += 1
-            self._outcome.peak = max(self._outcome.peak, held / allowed)
-            if held > allowed:
+            self._outcome.peak = max(self._outcome.peak, count / allowed)
+            if count > allowed:
                 self._outcome.faults.append(
-                    f'{upstream.instance} got {held} in a window that begins'
+                    f'{upstream.instance} got {count} in a window that begins'
                     f' {first - reported.at:.2f} s after it reported'
                     f' {reported.rate}; {allowed:.1f} are allowed'
                 )
 
     def _is_undisturbed(self, request_id: str, at: float) -> bool:
         """Return whether the sending router was not disturbed recently."""
-        life = self._lives_by_request.get(request_id, '')
-        disturbed_at = self._disturbed_at.get(life, float('-inf'))
+        start = self._starts_by_request.get(request_id, '')
+        disturbed_at = self._disturbed_at.get(start, float('-inf'))
         return at - disturbed_at > REACTION_SECONDS + CONTACT_SECONDS
 
 
