--- a/src/lifttrestle/internal/fleet/policy/engine_costs.py
+++ b/src/lifttrestle/internal/fleet/policy/engine_costs.py
@@ -21,9 +21,9 @@
 from lifttrestle.internal.fleet.state.shared_parts import SharedParts
 from lifttrestle.internal.fleet.state.upstream import FleetUpstream
 
-# The homes of a shared prefix are the engines, as rendezvous hashing ranks
-# them, to which its requests go. Number of engines besides the first home that
-# usually cache the prefix too.
+# Requests with a shared prefix prefer its homes: the first engines in the
+# order in which rendezvous hashing ranks the engines for the prefix. Number of
+# homes besides the first one that usually have the prefix cached.
 EXTRA_HOMES = 2
 # Approximate slowdown that a running request causes to the others on its
 # engine.
--- a/src/lifttrestle/internal/fleet/policy/limit_permits.py
+++ b/src/lifttrestle/internal/fleet/policy/limit_permits.py
@@ -15,7 +15,7 @@
 An upstream may accept one request per second, or one in ten seconds, from
 hundreds of routers. A static share per router would be one request in several
 minutes, and what the other routers may send between two updates would exceed
-the whole limit. One router therefore issues permits, each for one request,
+the whole limit. One router therefore grants permits, each for one request,
 which bounds the total for any number of routers.
 """
 
@@ -23,7 +23,7 @@
 
 from lifttrestle.internal.fleet.policy.recent_use import RecentUse
 
-# The bucket holds one request, a second one at the router that issues the
+# The bucket holds one request, a second one at the router that grants the
 # whole limit, and the refill of this time, so that a request that arrives a
 # little late still finds its permit.
 BURST_SECONDS = 0.25
@@ -72,8 +72,8 @@
     """Token bucket of permits for one start of an upstream.
 
     :ivar rate: limit in requests per second, None after it was removed.
-    :ivar share: fraction of the limit that this router issues.
-    :ivar use: recently issued permits.
+    :ivar share: fraction of the limit that this router grants.
+    :ivar use: recently granted permits.
     """
 
     def __init__(self, rate: float | None, share: float, now: float) -> None:
@@ -83,15 +83,16 @@
         # Empty, as requests were sent before the limit was known.
         self._level = 0.0
         self._at = now
-        # How far the rate had grown after the removal of a limit is unknown.
-        self._grown_from = MIN_GROWTH_RATE if rate is None else math.inf
-        self._grown_at = now
+        # Without a limit, it is unknown how far the rate has grown since the
+        # removal, so growth starts again.
+        self._growth_start_rate = MIN_GROWTH_RATE if rate is None else math.inf
+        self._growth_started_at = now
         self._refused_at = -math.inf
         self._reserved: dict[int, float] = {}
         self._next_retry_at = now
 
     def set_share(self, share: float, now: float) -> None:
-        """Set the fraction of the limit that this router issues."""
+        """Set the fraction of the limit that this router grants."""
         self._advance(now)
         self.share = share
 
@@ -99,8 +100,8 @@
         """Set or remove the limit; a higher rate is approached gradually."""
         self._advance(now)
         before = self.get_rate(now)
-        self._grown_from = max(before, MIN_GROWTH_RATE)
-        self._grown_at = now
+        self._growth_start_rate = max(before, MIN_GROWTH_RATE)
+        self._growth_started_at = now
         self.rate = rate
         self._next_retry_at = now
         if rate is None:
@@ -110,17 +111,19 @@
     def get_rate(self, now: float) -> float:
         """Return the permitted rate of all routers, in requests per second."""
         rate = math.inf if self.rate is None else self.rate
-        if math.isfinite(self._grown_from):
-            grown = GROWTH_PER_SECOND ** min(now - self._grown_at, 100.0)
-            rate = min(rate, self._grown_from * grown)
+        if math.isfinite(self._growth_start_rate):
+            grown = GROWTH_PER_SECOND ** min(
+                now - self._growth_started_at, 100.0
+            )
+            rate = min(rate, self._growth_start_rate * grown)
         return max(rate, MIN_RATE)
 
     def has_recovered(self, now: float) -> bool:
         """Return whether the limit was removed and the rate has recovered."""
         if self.rate is not None:
             return False
-        passed = now - self._grown_at
-        since_refusal = now - max(self._refused_at, self._grown_at)
+        passed = now - self._growth_started_at
+        since_refusal = now - max(self._refused_at, self._growth_started_at)
         return (
             passed >= RECOVERY_SECONDS or since_refusal >= NO_REFUSAL_SECONDS
         )
--- a/src/lifttrestle/internal/fleet/policy/permit_allocators.py
+++ b/src/lifttrestle/internal/fleet/policy/permit_allocators.py
@@ -10,13 +10,14 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Selects the routers that issue the permits for an upstream.
+"""Selects the routers that grant the permits for an upstream.
 
 The allocator is a router in the data centre of the upstream: a router that
 reaches the upstream also reaches that data centre, and the local routers have
-the shortest path. If the allocator does not answer, because it is gone or
-partitioned, the next two issue a quarter and an eighth of the limit, so that
-all sides of a partition together issue at most one and a half times the limit.
+the shortest path. If this primary allocator does not answer, because it is
+gone or partitioned, two standbys grant a quarter and an eighth of the limit,
+so that all sides of a partition together grant at most one and a half times
+the limit.
 """
 
 from collections.abc import Collection
@@ -25,12 +26,12 @@
 
 RANKING_KEY = b'limits'
 MAX_ALLOCATORS = 3
-# Fractions of the limit that the first, second and third allocator issue.
+# Fractions of the limit that the primary and the two standbys grant.
 SHARES = (1.0, 0.25, 0.125)
 
 
 def rank_allocators(routers: Collection[str]) -> list[str]:
-    """Return the routers that may issue permits, in order of preference.
+    """Return the routers that may grant permits, in order of preference.
 
     Routers with the same view of the fleet return the same order.
 
--- a/src/lifttrestle/internal/fleet/policy/shared_level.py
+++ b/src/lifttrestle/internal/fleet/policy/shared_level.py
@@ -36,7 +36,8 @@
 # Retry times of refused callers are spread over this time at most, as the
 # usage of other routers by then can only be estimated.
 MAX_SPREAD_SECONDS = 5.0
-# Fraction of the capacity that is sufficient for a request of any size.
+# A request of any size is within the cap if this fraction of the capacity is
+# available.
 SUFFICIENT_SHARE = 0.25
 # Minimum retry time of a refused caller.
 MIN_RETRY_SECONDS = 0.05
@@ -52,8 +53,8 @@
     :ivar silent_since: when it became silent, monotonic seconds.
     :ivar assumed_share: fraction of the rate that it is assumed to use while
         it is silent.
-    :ivar assumed_units: units charged for it since it became silent and not
-        reported yet.
+    :ivar assumed_units: units charged for it while it was silent that it has
+        not reported yet.
     """
 
     use: RecentUse = dataclasses.field(default_factory=RecentUse)
@@ -108,11 +109,14 @@
 
     def find_own_share(self, now: float) -> float:
         """Return the share of this router in units per second."""
-        free, scale = self._split(now)
-        return (self.own_use.get(now) + free) * scale
+        unused_rate, scale = self._divide_rate(now)
+        return (self.own_use.get(now) + unused_rate) * scale
 
-    def _split(self, now: float) -> tuple[float, float]:
-        """Return the unused rate per router and the scale of the usage."""
+    def _divide_rate(self, now: float) -> tuple[float, float]:
+        """Return the unused rate per router, and the factor for the usage.
+
+        The factor is below one if the usage of all routers exceeds the rate.
+        """
         total = self.get_total_use(now)
         rate = self.cap.rate
         if total <= rate:
@@ -183,11 +187,11 @@
             silent before.
         :returns: the share in units per second.
         """
-        free, scale = self._split(now)
+        unused_rate, scale = self._divide_rate(now)
         routers = self.others.get_router_count(name)
         group.silent = True
         group.silent_since = now
-        share = (group.use.get(now) + free * routers) * scale
+        share = (group.use.get(now) + unused_rate * routers) * scale
         group.assumed_share = share / self.cap.rate
         age = self.others.get_age(name, now)
         group.never_reported = math.isinf(age)
@@ -207,8 +211,8 @@
     def get_remaining(self, now: float) -> float:
         """Return the available units, less unreported usage of others."""
         self.advance(now)
-        free, scale = self._split(now)
-        pending = free * self.others.get_unreported_seconds(now)
+        unused_rate, scale = self._divide_rate(now)
+        pending = unused_rate * self.others.get_unreported_seconds(now)
         for name, group in self._groups.items():
             if not group.silent:
                 age = self.others.get_age(name, now)
--- a/src/lifttrestle/internal/fleet/policy/shedding.py
+++ b/src/lifttrestle/internal/fleet/policy/shedding.py
@@ -38,7 +38,7 @@
 # for this fraction of its objective from its arrival, and is then refused, so
 # that the caller still has time to try elsewhere.
 WAIT_TARGET_SHARE = 1 / 8
-# A request that an upstream rejected or lost waits longer, but at most for
+# A request that an upstream declined or lost waits longer, but at most for
 # this fraction of the remaining time: engines that load weights are available
 # again within about a second.
 MAX_WAIT_SECONDS = 0.8
--- a/src/lifttrestle/internal/fleet/policy/weights_filter.py
+++ b/src/lifttrestle/internal/fleet/policy/weights_filter.py
@@ -36,8 +36,9 @@
     """
     loaded = [item for item in engines if model in item.weights]
     idle = [item for item in loaded if item.busy_until <= now]
-    # An engine rejects requests at once while it loads weights. If all engines
-    # seem to load, one may have finished, or not have received its order.
+    # An engine declines requests at once while it loads weights. If all
+    # engines seem to load, one may have finished, or not have received its
+    # order.
     idle = idle or loaded
     if target is None:
         return idle
--- a/tests/cover/test_limit_permits.py
+++ b/tests/cover/test_limit_permits.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Tests of the permits that one router issues for an upstream."""
+"""Tests of the permits that one router grants for an upstream."""
 
 import unittest
 
@@ -27,7 +27,7 @@
 
 
 def take_permits(bucket, begin, seconds, rank=SOLE_UPSTREAM):
-    """Request permits continuously; return the times of those issued."""
+    """Request permits continuously; return the times of those granted."""
     steps = range(int(seconds / STEP_SECONDS))
     times = [begin + step * STEP_SECONDS for step in steps]
     return [at for at in times if not bucket.take(rank, at)]
--- a/tests/support/limited_fleet.py
+++ b/tests/support/limited_fleet.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Runs routers in two data centres before upstreams that report limits."""
+"""Runs routers of two data centres with upstreams that report limits."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -108,7 +108,7 @@
 async def run_limited_fleet(
     routers: int = 6, upstreams: int = 4
 ) -> AsyncIterator[LimitedFleet]:
-    """Run routers before plain upstreams."""
+    """Run routers in front of plain upstreams."""
     store = FleetStoreStandin()
     address = await store.start()
     named = {
