--- a/src/lifttrestle/internal/fleet/path/candidates.py
+++ b/src/lifttrestle/internal/fleet/path/candidates.py
@@ -22,7 +22,7 @@
 from lifttrestle.internal.fleet.policy.placement import choose_engine
 from lifttrestle.internal.fleet.policy.placement import choose_plain
 from lifttrestle.internal.fleet.policy.placement import Placement
-from lifttrestle.internal.fleet.policy.weights_fit import select_engines
+from lifttrestle.internal.fleet.policy.weights_filter import select_engines
 from lifttrestle.internal.fleet.state.upstream import FleetUpstream
 
 FOREVER = float('inf')
@@ -72,7 +72,7 @@
         context = PlacementContext(
             now=parts.clock.monotonic(),
             data_centre=parts.settings.data_centre,
-            wanted_version=wanted.version if wanted is not None else 0,
+            target_version=wanted.version if wanted is not None else 0,
             urgency=get_urgency(admitted),
             slots=_get_slots(admitted, service),
             read_seconds=parts.get_pace(service).read_seconds,
--- a/src/lifttrestle/internal/fleet/process.py
+++ b/src/lifttrestle/internal/fleet/process.py
@@ -28,7 +28,7 @@
 from lifttrestle.internal.fleet.crashes.tracker import CrashTracker
 from lifttrestle.internal.fleet.gauges import GaugeSources
 from lifttrestle.internal.fleet.gauges import register_gauges
-from lifttrestle.internal.fleet.limits.memory import UpstreamLimits
+from lifttrestle.internal.fleet.limits.upstream_limits import UpstreamLimits
 from lifttrestle.internal.fleet.loads.engine_control import EngineControl
 from lifttrestle.internal.fleet.loads.weights_loader import WeightsLoader
 from lifttrestle.internal.fleet.parts import FleetParts
@@ -39,7 +39,7 @@
 from lifttrestle.internal.fleet.policy.cache_sources import CacheSources
 from lifttrestle.internal.fleet.policy.retry_budget import SharedRetryBudget
 from lifttrestle.internal.fleet.policy.usage_caps import UsageCap
-from lifttrestle.internal.fleet.policy.weights_fit import OLD_WEIGHTS_SHARE
+from lifttrestle.internal.fleet.policy.weights_filter import OLD_WEIGHTS_SHARE
 from lifttrestle.internal.fleet.settings import FleetSettings
 from lifttrestle.internal.fleet.stall_watch import watch_stalls
 from lifttrestle.internal.fleet.state.cache_stores import CacheStores
--- a/tests/cover/test_load_sums.py
+++ b/tests/cover/test_load_sums.py
@@ -21,11 +21,11 @@
 import msgspec
 
 from lifttrestle.internal.clock.manual import ManualClock
-from lifttrestle.internal.fleet.policy.load_paths import choose_aggregator
-from lifttrestle.internal.fleet.policy.load_paths import MAX_DIRECT_ROUTERS
-from lifttrestle.internal.fleet.policy.tell_pacing import BURST
-from lifttrestle.internal.fleet.policy.tell_pacing import MAX_QUERY_RATE
-from lifttrestle.internal.fleet.policy.tell_pacing import MAX_REPORT_RATE
+from lifttrestle.internal.fleet.policy.load_exchange import choose_aggregator
+from lifttrestle.internal.fleet.policy.load_exchange import MAX_DIRECT_ROUTERS
+from lifttrestle.internal.fleet.policy.report_pacing import BURST
+from lifttrestle.internal.fleet.policy.report_pacing import MAX_QUERY_RATE
+from lifttrestle.internal.fleet.policy.report_pacing import MAX_REPORT_RATE
 from lifttrestle.internal.fleet.policy.usage_caps import UsageCap
 from lifttrestle.internal.fleet.policy.usage_caps import UsageUnit
 from lifttrestle.internal.fleet.settings import Promises
@@ -183,7 +183,7 @@
         for _ in range(3):
             fleet.run_round()
         level = fleet.routers[name].usage.find_level(WORKSPACE)
-        return level.get_left(fleet.clock.monotonic())
+        return level.get_remaining(fleet.clock.monotonic())
 
     def test_every_router_knows_what_all_used(self):
         for count in (8, 60):
