--- a/src/lifttrestle/internal/router/background.py
+++ b/src/lifttrestle/internal/router/background.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Tasks that outlive the request that started them."""
+"""Background tasks, which outlive the request that started them."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -20,7 +20,7 @@
 
 
 class BackgroundTasks:
-    """Keeps tasks alive and waits for them at a planned stop."""
+    """Keeps tasks referenced while they run; a planned stop waits for them."""
 
     def __init__(self) -> None:
         self._tasks: set[asyncio.Task[object]] = set()
@@ -28,18 +28,20 @@
     def start(
         self, work: Coroutine[object, object, object]
     ) -> asyncio.Task[object]:
-        """Run ``work`` and report its failure in the log."""
+        """Start a task that runs ``work``; its failure is logged."""
         task = asyncio.create_task(work)
         self._tasks.add(task)
-        task.add_done_callback(self._note_end)
+        task.add_done_callback(self._handle_end)
         return task
 
     async def flush(self, seconds: float) -> None:
-        """Wait, but not longer than ``seconds``, for all tasks."""
+        """Wait for all tasks, for at most ``seconds``."""
         if self._tasks:
             await asyncio.wait(set(self._tasks), timeout=seconds)
 
-    def _note_end(self, task: asyncio.Task[object]) -> None:
+    def _handle_end(self, task: asyncio.Task[object]) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            LOG.error('router: a task failed', exc_info=task.exception())
+            LOG.error(
+                'router: a background task failed', exc_info=task.exception()
+            )
--- a/src/lifttrestle/internal/router/caller_handler.py
+++ b/src/lifttrestle/internal/router/caller_handler.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Serves one caller's request, from its head to its answer."""
+"""Handles the requests of callers, from the head to the answer."""
 
 import asyncio
 from collections.abc import Iterator
@@ -38,7 +38,7 @@
 from lifttrestle.internal.router.chooser import UpstreamChooser
 from lifttrestle.internal.router.cut import build_cut_refusal
 from lifttrestle.internal.router.cut import find_cut_cause
-from lifttrestle.internal.router.identify import check_place
+from lifttrestle.internal.router.identify import check_data_centre
 from lifttrestle.internal.router.identify import identify_workspace
 from lifttrestle.internal.router.model_exchange import ModelExchange
 from lifttrestle.internal.router.model_request import parse_model_request
@@ -56,12 +56,12 @@
 
 
 def make_request_id(source: random.Random) -> str:
-    """Return an id that no other request has."""
+    """Return a random id, a UUID of version 4 in hexadecimal."""
     return uuid.UUID(int=source.getrandbits(128), version=4).hex
 
 
 class CallerHandler:
-    """The callers' side of a router."""
+    """Handles the requests that callers send to a router."""
 
     def __init__(self, parts: RouterParts, readiness: Readiness) -> None:
         self._parts = parts
@@ -72,7 +72,7 @@
     async def handle(
         self, connection: ServerConnection, head: RequestHead
     ) -> None:
-        """Answer one request, with a refusal if it comes to that."""
+        """Serve a request, or answer it with a refusal."""
         request_id = make_request_id(self._parts.source)
         progress = RequestProgress()
         try:
@@ -80,14 +80,15 @@
         except RequestRefused as refused:
             await self._refuse(connection, refused, request_id)
         except CutByStop as error:
-            self._note_end(request_id, progress, error)
+            self._record_end(request_id, progress, error)
             await self._answer_cut(connection, request_id, progress)
         except (CallerGone, asyncio.CancelledError) as error:
-            self._note_end(request_id, progress, error)
+            self._record_end(request_id, progress, error)
             raise
         except Exception:
             LOG.exception('router: request %s failed', request_id)
-            # Nothing is known of how far it came, so nothing is promised.
+            # The failure may have happened at any step, so it is unknown
+            # whether the request ran.
             failed = RequestRefused(
                 ErrorKind.INTERNAL,
                 f'the router failed to serve request {request_id}',
@@ -104,7 +105,7 @@
     ) -> None:
         route = find_route(head.path)
         if route.kind is RouteKind.READY:
-            await self._tell_ready(connection)
+            await self._send_readiness(connection)
             return
         self._readiness.check()
         workspace = self._identify(head)
@@ -117,13 +118,13 @@
             connection, head, request_id, workspace, progress
         )
         if route.kind is RouteKind.SERVICE:
-            self._services.check_path(scope, route)
+            self._services.check_head(scope, route)
         async with self._parts.stop.bound_request():
             await self._admit(scope, route)
 
     async def _admit(self, scope: RequestScope, route: Route) -> None:
-        # The limits come before the body, so that a workspace which is over
-        # its share costs no memory for what is refused anyway.
+        # Limits are checked before the body is read, so that the requests of
+        # a workspace that exceeds its share use no memory for their bodies.
         parts = self._parts
         workspace = scope.workspace
         parts.limits.enter(workspace, parts.peers.count_live())
@@ -150,7 +151,7 @@
         # The configuration may have changed while the request waited.
         scope.workspace = self._identify(scope.head)
         if route.kind is RouteKind.SERVICE:
-            with self._take_in_time(route.service):
+            with self._measure_time(route.service):
                 await self._services.run(scope, route, body)
             return
         request = parse_model_request(route.kind, body)
@@ -159,19 +160,20 @@
         _check_model(scope.workspace, request.model)
         model = view.document.models.get(request.model)
         if model is None:
-            raise _no_model(request.model)
+            raise _build_no_model_refusal(request.model)
         exchange = ModelExchange(
             self._parts, self._chooser, scope, request, model
         )
-        with self._take_in_time(request.model):
+        with self._measure_time(request.model):
             await exchange.run()
 
     @contextlib.contextmanager
-    def _take_in_time(self, target: str) -> Iterator[None]:
-        """Begin the work on a request, if it can end before a stop does.
+    def _measure_time(self, target: str) -> Iterator[None]:
+        """Measure the time of a request that can complete before a stop.
 
-        :raises RequestRefused: if requests like it took longer lately than
-            what is left.
+        :param target: the name of the model or service.
+        :raises RequestRefused: if recent requests for the target took longer
+            than the time that remains before the stop.
         """
         needed = self._parts.needed
         if needed.get_longest(target) > self._parts.stop.count_left():
@@ -181,15 +183,19 @@
         needed.note(target, self._parts.clock.monotonic() - started)
 
     def _identify(self, head: RequestHead) -> Workspace:
-        """Return the caller's workspace, if it may be served here now."""
+        """Return the caller's workspace.
+
+        :raises RequestRefused: if it is unknown or may not be served here.
+        """
         workspace = identify_workspace(head, self._parts.keeper.view)
-        check_place(workspace, self._parts.settings.router.data_centre)
+        check_data_centre(workspace, self._parts.settings.router.data_centre)
         return workspace
 
     async def _wait_while_held(self, kind: ItemKind, name: str) -> View:
-        """Return the view once it is known which definition is in force.
+        """Wait until it is known which definition of an item is in force.
 
-        :raises RequestRefused: if that takes longer than the bound.
+        :return: the view with that definition.
+        :raises RequestRefused: if that takes longer than ``hold_seconds``.
         """
         keeper = self._parts.keeper
         if not keeper.view.is_held(kind, name):
@@ -232,7 +238,7 @@
         kind = refused.kind.value
         if connection.answer_started:
             cause = f'{kind}: {refused.message}'
-            self._note_cut(request_id, refused.ran, cause, kind)
+            self._record_cut(request_id, refused.ran, cause, kind)
             connection.abort()
             return
         LOG.info(
@@ -252,7 +258,7 @@
         request_id: str,
         progress: RequestProgress,
     ) -> None:
-        """Tell the caller as much of the truth as can still be told."""
+        """Refuse a request that a stop cut, or abort its started answer."""
         if connection.answer_started:
             connection.abort()
             return
@@ -260,7 +266,7 @@
         refused = build_cut_refusal(progress.execution)
         await self._refuse(connection, refused, request_id)
 
-    def _note_end(
+    def _record_end(
         self,
         request_id: str,
         progress: RequestProgress,
@@ -268,12 +274,12 @@
     ) -> None:
         cause = find_cut_cause(error, self._parts.stop.begun)
         ran = progress.execution
-        self._note_cut(request_id, ran, cause.value, cause.name.lower())
+        self._record_cut(request_id, ran, cause.value, cause.name.lower())
 
-    def _note_cut(
+    def _record_cut(
         self, request_id: str, ran: Execution, cause: str, counter: str
     ) -> None:
-        """Tell of a request whose caller got no whole answer."""
+        """Log and count a request that got no complete answer."""
         LOG.info(
             'router: cut request=%s ran="%s" cause="%s"',
             request_id,
@@ -282,7 +288,7 @@
         )
         self._parts.metrics.count(f'cut.{counter}')
 
-    async def _tell_ready(self, connection: ServerConnection) -> None:
+    async def _send_readiness(self, connection: ServerConnection) -> None:
         status = 200 if self._readiness.is_ready() else 503
         await connection.send_answer(Answer(status))
 
@@ -292,17 +298,17 @@
         return
     raise RequestRefused(
         ErrorKind.METHOD_NOT_ALLOWED,
-        f'{method} is not used here; use {" or ".join(route.methods)}',
+        f'{method} is not allowed; use {" or ".join(route.methods)}',
         field='method',
     )
 
 
 def _check_model(workspace: Workspace, name: str) -> None:
     if name not in workspace.models:
-        raise _no_model(name)
+        raise _build_no_model_refusal(name)
 
 
-def _no_model(name: str) -> RequestRefused:
+def _build_no_model_refusal(name: str) -> RequestRefused:
     return RequestRefused(
         ErrorKind.MODEL_NOT_FOUND,
         f'your workspace has no model {name!r}',
--- a/src/lifttrestle/internal/router/identify.py
+++ b/src/lifttrestle/internal/router/identify.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Finds the workspace of a request from its head alone."""
+"""Authenticates requests by their bearer token, from the head alone."""
 
 import hashlib
 
@@ -39,39 +39,41 @@
 
 
 def digest_token(token: str) -> str:
-    """Return the digest under which a token is configured."""
+    """Return the digest by which the configuration lists a token."""
     return hashlib.sha256(token.encode()).hexdigest()
 
 
 def identify_workspace(head: RequestHead, view: View) -> Workspace:
-    """Return the workspace whose token the request carries.
+    """Return the workspace to which the token of a request belongs.
 
-    :raises RequestRefused: for a missing or unknown token.
+    :raises RequestRefused: if the token is missing or unknown.
     """
     digest = digest_token(read_token(head))
     name = view.document.workspace_by_token.get(digest)
     if name is None:
         raise RequestRefused(
             ErrorKind.UNAUTHORISED,
-            'the bearer token is not known here',
+            'the bearer token is unknown',
             field='authorization',
         )
     return view.document.workspaces[name]
 
 
-def check_place(workspace: Workspace, data_centre: str) -> None:
+def check_data_centre(workspace: Workspace, data_centre: str) -> None:
     """Refuse a request whose workspace may not be served here.
 
-    Only the head was read: no byte of the prompt is taken in.
+    This is checked on the head alone, before any byte of the prompt is read.
 
-    :raises RequestRefused: naming the data centres that may serve it.
+    :param data_centre: the data centre of this router.
+    :raises RequestRefused: with the data centres that may serve it.
     """
     if data_centre in workspace.data_centres:
         return
     raise RequestRefused(
         ErrorKind.WRONG_PLACE,
         f'workspace {workspace.name!r} is not served in {data_centre!r};'
-        f' send it to {", ".join(workspace.data_centres) or "no place yet"}',
+        ' send it to'
+        f' {", ".join(workspace.data_centres) or "no data centre yet"}',
         field='data_centre',
         details={'data_centres': list(workspace.data_centres)},
     )
--- a/src/lifttrestle/internal/router/once_exchange.py
+++ b/src/lifttrestle/internal/router/once_exchange.py
@@ -10,11 +10,11 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Serves a request with an idempotency key, at most once.
+"""Runs a request that has an idempotency key at most once.
 
-The key is claimed in the table service before anything is sent. There is one
-attempt: once its first byte may have reached an upstream, nothing sends it
-again. The caller may leave; the outcome is recorded all the same.
+The key is claimed in the table service before anything is sent. Once the
+first byte of the request may have reached an upstream, the request is not
+sent again. The outcome is recorded even if the caller disconnects.
 """
 
 import asyncio
@@ -39,7 +39,7 @@
 from lifttrestle.internal.router.chooser import UpstreamChooser
 from lifttrestle.internal.router.parts import RouterParts
 from lifttrestle.internal.router.scope import RequestScope
-from lifttrestle.internal.router.service_answer import read_whole
+from lifttrestle.internal.router.service_answer import read_answer
 from lifttrestle.internal.router.service_exchange import build_head
 from lifttrestle.internal.router.service_exchange import build_target
 from lifttrestle.internal.router.service_exchange import NO_PROMPT
@@ -54,9 +54,9 @@
 
 
 class OnceExchange(AttemptPlan[Attempt, Answer]):
-    """Owns the claim and the one attempt of a request.
+    """Claims the key of a request and runs the request at most once.
 
-    :param needs_claim: False where the upstreams drop repeats themselves.
+    :param needs_claim: False if the upstreams drop repeats themselves.
     """
 
     def __init__(
@@ -79,11 +79,12 @@
         self._tried: set[str] = set()
 
     async def run(self) -> None:
-        """Serve the request, or say truthfully what became of it.
+        """Serve the request in a task that continues if the caller leaves.
 
-        The work goes on in a task of its own when the caller leaves.
+        :raises RequestRefused: if there is no answer; the refusal states
+            whether the request ran, as far as is known.
         """
-        task = self._parts.background.start(self._run_to_end())
+        task = self._parts.background.start(self._run_to_completion())
         try:
             outcome = await asyncio.shield(task)
         except asyncio.CancelledError:
@@ -94,7 +95,7 @@
         assert isinstance(outcome, Answer)
         await self._scope.connection.send_answer(outcome)
 
-    async def _run_to_end(self) -> Answer | RequestRefused:
+    async def _run_to_completion(self) -> Answer | RequestRefused:
         try:
             self._claimed = await self._claim()
             answer = await run_attempts(self)
@@ -109,29 +110,30 @@
     async def _claim(self) -> Claim | None:
         if not self._needs_claim:
             return None
-        left = self._scope.deadline - self._parts.clock.monotonic()
+        remaining = self._scope.deadline - self._parts.clock.monotonic()
         try:
-            async with asyncio.timeout(max(left, 0)):
+            async with asyncio.timeout(max(remaining, 0)):
                 outcome = await self._parts.ledger.claim(
                     self._run_key, self._attempt_id, self._fingerprint()
                 )
         except (PlatformUnavailable, TimeoutError) as error:
-            # The claim may exist, or come to exist. This attempt will never
-            # be sent, so it alone may void it; the caller need not wait.
+            # The claim may have been written, or its write may still be in
+            # flight. Only this attempt may void it, since this attempt will
+            # never be sent. The caller does not have to wait for that.
             self._parts.ledger.schedule_void(self._run_key, self._attempt_id)
             raise RequestRefused(
                 ErrorKind.TABLE_UNAVAILABLE,
                 'the run could not be recorded, so the request was not sent:'
-                f' {error or "no time left"}',
+                f' {error or "the deadline has passed"}',
                 retry_after=RETRY_SECONDS,
             ) from None
         if not isinstance(outcome, Claim):
-            raise self._explain(outcome.record)
+            raise self._build_conflict_refusal(outcome.record)
         self._scope.progress.apply(RequestEvent.CLAIM)
         return outcome
 
     async def choose(self) -> Attempt:
-        """Return the next upstream; without one the claim is void."""
+        """Return the next attempt, or void the claim if there is none."""
         try:
             self._check_deadline()
             attempt = self._chooser.choose(
@@ -148,7 +150,7 @@
         return attempt
 
     async def attempt(self, chosen: Attempt) -> Answer:
-        """Send the request and return its whole answer."""
+        """Send the request and return its complete answer."""
         with self._chooser.track(chosen):
             try:
                 answer = await self._try(chosen)
@@ -164,7 +166,7 @@
     async def handle_failure(
         self, chosen: Attempt, error: LifttrestleError
     ) -> FailureAction:
-        """Go elsewhere only if it did not run: the claim covers that."""
+        """Retry, under the same claim, only if the request did not run."""
         if isinstance(error, NOT_RUN_FAILURES):
             return FailureAction.RETRY
         self._finish(self._claimed, RunState.UNKNOWN, 0)
@@ -189,7 +191,7 @@
             check_answer(self._parts, attempt, call, request_id)
             self._scope.progress.apply(RequestEvent.ANSWER)
             self._chooser.note_first_byte(attempt)
-            answer = await read_whole(call, MAX_ANSWER_BYTES)
+            answer = await read_answer(call, MAX_ANSWER_BYTES)
         except BaseException:
             call.connection.close()
             raise
@@ -205,7 +207,7 @@
             return
         raise RequestRefused(
             ErrorKind.DEADLINE_EXCEEDED,
-            'its time was over before the request was sent',
+            'the deadline passed before the request was sent',
             retry_after=RETRY_SECONDS,
         )
 
@@ -228,7 +230,7 @@
         digest.update(self._request.body)
         return digest.hexdigest()[:32]
 
-    def _explain(self, record: RunRecord) -> RequestRefused:
+    def _build_conflict_refusal(self, record: RunRecord) -> RequestRefused:
         key = self._run_key.key
         if record.fingerprint and record.fingerprint != self._fingerprint():
             return RequestRefused(
--- a/src/lifttrestle/internal/router/parts.py
+++ b/src/lifttrestle/internal/router/parts.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""The parts of a router that a request's path uses."""
+"""The components of a router that serve its requests."""
 
 import dataclasses
 import random
@@ -36,7 +36,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class RouterParts:
-    """Everything that outlives a request, built once at start."""
+    """Components that outlive a request, built once at start.
+
+    :ivar source: the source of randomness for choices and ids.
+    :ivar recorder: records a trace of the requests, if enabled.
+    """
 
     settings: RouterSettings
     clock: Clock
--- a/src/lifttrestle/internal/router/route.py
+++ b/src/lifttrestle/internal/router/route.py
@@ -10,14 +10,14 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Which part of the product a path belongs to."""
+"""Maps the path of a request to the API or service that it addresses."""
 
 import dataclasses
 import enum
 
 
 class RouteKind(enum.Enum):
-    """What a caller asks for."""
+    """The API that a path addresses."""
 
     CHAT = 'chat'
     COMPLETIONS = 'completions'
@@ -28,8 +28,9 @@
 
 @dataclasses.dataclass(frozen=True)
 class Route:
-    """A path, understood.
+    """A parsed path.
 
+    :ivar methods: the allowed methods; empty if all are.
     :ivar service: the plain service's name, for ``SERVICE`` only.
     :ivar rest: the path below the service, beginning with a slash.
     """
@@ -40,7 +41,7 @@
     rest: str = ''
 
 
-FIXED: dict[str, Route] = {
+FIXED_ROUTES: dict[str, Route] = {
     '/v1/chat/completions': Route(RouteKind.CHAT, ('POST',)),
     '/v1/completions': Route(RouteKind.COMPLETIONS, ('POST',)),
     '/v1/models': Route(RouteKind.MODELS, ('GET',)),
@@ -49,8 +50,8 @@
 
 
 def find_route(path: str) -> Route:
-    """Return the route of a path; the service may not exist."""
-    fixed = FIXED.get(path)
+    """Return the route of a path, without a check that its service exists."""
+    fixed = FIXED_ROUTES.get(path)
     if fixed is not None:
         return fixed
     name, slash, rest = path.removeprefix('/').partition('/')
--- a/src/lifttrestle/internal/router/scope.py
+++ b/src/lifttrestle/internal/router/scope.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""What belongs to one request while the router works on it."""
+"""The state of a request while the router serves it."""
 
 import dataclasses
 
@@ -22,10 +22,11 @@
 
 @dataclasses.dataclass
 class RequestScope:
-    """One request, who sent it and by when it must be answered.
+    """A request with its caller's workspace and its deadline.
 
-    :ivar workspace: as configured when the request last stopped waiting.
-    :ivar deadline: the monotonic time by which the answer must begin.
+    :ivar workspace: as configured when the request last ended a wait.
+    :ivar started: the monotonic time in seconds at which it was received.
+    :ivar deadline: the monotonic time by which the answer must start.
     """
 
     request_id: str
--- a/src/lifttrestle/internal/router/service_answer.py
+++ b/src/lifttrestle/internal/router/service_answer.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Passes on a plain service's answer."""
+"""Forwards the answers of plain services."""
 
 from collections.abc import AsyncIterator
 
@@ -19,9 +19,9 @@
 from lifttrestle.internal.router.call import UpstreamCall
 from lifttrestle.internal.router.scope import RequestScope
 
-# An answer up to this size is sent once it is whole; then a lost one can
-# still be asked for again. A longer one is passed on as it comes.
-HELD_BYTES = 256 * 1024
+# Answers up to this size are sent once they are complete, so that a request
+# whose answer is lost can still be retried. Longer ones are streamed.
+MAX_BUFFERED_BYTES = 256 * 1024
 HEAD = 'HEAD'
 HOP_HEADERS = frozenset(
     (
@@ -39,8 +39,12 @@
 )
 
 
-def keep_end_headers(headers: tuple[Header, ...]) -> tuple[Header, ...]:
-    """Return the headers that are meant for the other end."""
+def keep_end_to_end_headers(headers: tuple[Header, ...]) -> tuple[Header, ...]:
+    """Return the end-to-end headers.
+
+    Drops the hop-by-hop ones, which include those that ``Connection`` lists,
+    and those that the sender of a message sets itself.
+    """
     named: set[str] = set()
     for name, value in headers:
         if name == 'connection':
@@ -52,52 +56,58 @@
     )
 
 
-async def read_whole(call: UpstreamCall, limit: int) -> Answer:
-    """Return the whole answer, at most ``limit`` bytes of body."""
+async def read_answer(call: UpstreamCall, limit: int) -> Answer:
+    """Return the complete answer.
+
+    :raises UpstreamLost: if it broke off, or its body is over ``limit``
+        bytes.
+    """
     body = await call.read_whole(limit)
-    return Answer(call.head.status, keep_end_headers(call.head.headers), body)
+    return Answer(
+        call.head.status, keep_end_to_end_headers(call.head.headers), body
+    )
 
 
-async def pass_answer(scope: RequestScope, call: UpstreamCall) -> None:
-    """Send an answer on, holding a short one until it is complete.
+async def forward_answer(scope: RequestScope, call: UpstreamCall) -> None:
+    """Forward an answer; a short one is sent once it is complete.
 
-    :raises UpstreamLost: if it broke off; whether the caller has received a
-        part shows in ``scope.connection.answer_started``.
+    :raises UpstreamLost: if it broke off; ``scope.connection.answer_started``
+        tells whether the caller has received a part.
     """
     if scope.head.method == HEAD:
-        await _pass_head(scope, call)
+        await _forward_head(scope, call)
         return
-    held: list[bytes] = []
+    buffered: list[bytes] = []
     size = 0
     parts = call.iterate()
     async for part in parts:
-        held.append(part)
+        buffered.append(part)
         size += len(part)
-        if size > HELD_BYTES:
-            await _pass_long(scope, call, b''.join(held), parts)
+        if size > MAX_BUFFERED_BYTES:
+            await _stream_answer(scope, call, b''.join(buffered), parts)
             return
     headers = _build_headers(scope, call)
-    answer = Answer(call.head.status, headers, b''.join(held))
+    answer = Answer(call.head.status, headers, b''.join(buffered))
     await scope.connection.send_answer(answer)
 
 
-async def _pass_head(scope: RequestScope, call: UpstreamCall) -> None:
-    """Pass on the answer to a HEAD request, which has a length and no body."""
+async def _forward_head(scope: RequestScope, call: UpstreamCall) -> None:
+    """Forward the answer to a HEAD request: a length but no body."""
     await call.read_whole(0)
     headers = _build_headers(scope, call, with_length=True)
     await scope.connection.start_answer(call.head.status, headers)
     await scope.connection.end_answer()
 
 
-async def _pass_long(
+async def _stream_answer(
     scope: RequestScope,
     call: UpstreamCall,
-    held: bytes,
+    buffered: bytes,
     rest: AsyncIterator[bytes],
 ) -> None:
     headers = _build_headers(scope, call, with_length=True)
     await scope.connection.start_answer(call.head.status, headers)
-    await scope.connection.send_part(held)
+    await scope.connection.send_part(buffered)
     async for part in rest:
         await scope.connection.send_part(part)
     await scope.connection.end_answer()
@@ -106,7 +116,7 @@
 def _build_headers(
     scope: RequestScope, call: UpstreamCall, with_length: bool = False
 ) -> tuple[Header, ...]:
-    headers = list(keep_end_headers(call.head.headers))
+    headers = list(keep_end_to_end_headers(call.head.headers))
     length = call.head.get_header('content-length')
     if with_length and length:
         headers.append(('content-length', length))
--- a/src/lifttrestle/internal/router/service_exchange.py
+++ b/src/lifttrestle/internal/router/service_exchange.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Serves one request to a plain service."""
+"""Serves a request without an idempotency key to a plain service."""
 
 import dataclasses
 
@@ -33,25 +33,25 @@
 from lifttrestle.internal.router.chooser import UpstreamChooser
 from lifttrestle.internal.router.parts import RouterParts
 from lifttrestle.internal.router.scope import RequestScope
-from lifttrestle.internal.router.service_answer import keep_end_headers
-from lifttrestle.internal.router.service_answer import pass_answer
+from lifttrestle.internal.router.service_answer import forward_answer
+from lifttrestle.internal.router.service_answer import keep_end_to_end_headers
 from lifttrestle.internal.routing.prompt import Prompt
 from lifttrestle.internal.settings.upstream import UpstreamKind
 from lifttrestle.internal.upstream.exclusion import Target
 
-REPEATABLE_METHODS = ('GET', 'HEAD', 'PUT', 'DELETE', 'OPTIONS')
+IDEMPOTENT_METHODS = ('GET', 'HEAD', 'PUT', 'DELETE', 'OPTIONS')
 RETRY_SECONDS = 1.0
-FAILED_STATUSES = (502, 503, 504)
+GATEWAY_ERRORS = (502, 503, 504)
 NO_PROMPT = Prompt((), 0)
-# What the caller says of these is for us, or ours to say.
-OWN_HEADERS = ('host', 'authorization', 'expect', 'x-workspace')
+# Headers of the caller that are meant for the router, or that it sets itself.
+ROUTER_HEADERS = ('host', 'authorization', 'expect', 'x-workspace')
 
 
 @dataclasses.dataclass(frozen=True)
 class ServiceRequest:
-    """A request to a plain service, whole.
+    """A complete request to a plain service.
 
-    :ivar rest: the target below the service's name, with its query.
+    :ivar rest: the path below the service's name, with the query.
     """
 
     service: Service
@@ -60,7 +60,7 @@
 
 
 def build_target(scope: RequestScope, service: Service) -> Target:
-    """Return what a request to ``service`` needs of an upstream."""
+    """Return what a request to ``service`` requires of an upstream."""
     return Target(
         kind=UpstreamKind.SERVICE,
         group=service.group,
@@ -71,11 +71,11 @@
 def build_head(
     scope: RequestScope, request: ServiceRequest, request_id: str
 ) -> RequestHead:
-    """Return the head to send; the caller's token stays here."""
+    """Return the head to send to an upstream, without the caller's token."""
     kept = [
         (name, value)
-        for name, value in keep_end_headers(scope.head.headers)
-        if name not in OWN_HEADERS
+        for name, value in keep_end_to_end_headers(scope.head.headers)
+        if name not in ROUTER_HEADERS
     ]
     headers = (
         *kept,
@@ -86,9 +86,9 @@
 
 
 class ServiceExchange(AttemptPlan[Attempt, None]):
-    """Owns the attempts of a request that has no idempotency key.
+    """Makes the attempts of a request that has no idempotency key.
 
-    :param once: the operators say that it may not be repeated: once its
+    :param once: whether the operators forbid repeating the request: once its
         first byte may have reached an upstream, it is not sent again.
     """
 
@@ -108,9 +108,9 @@
         self._tried: set[str] = set()
 
     async def run(self) -> None:
-        """Serve the request to its end.
+        """Serve the request.
 
-        :raises RequestRefused: if no answer could be begun.
+        :raises RequestRefused: if no answer was started, or one broke off.
         """
         self._parts.budget.note_request()
         await run_attempts(self)
@@ -128,7 +128,7 @@
         return attempt
 
     async def attempt(self, chosen: Attempt) -> None:
-        """Send the request and pass its answer on."""
+        """Send the request and forward its answer."""
         with self._chooser.track(chosen):
             await self._try(chosen)
 
@@ -142,14 +142,14 @@
                 attempt,
                 head,
                 self._request.body,
-                once=not self._is_repeatable(),
+                once=not self._is_idempotent(),
             )
-            await self._take_answer(attempt, call, request_id)
+            await self._handle_answer(attempt, call, request_id)
         except ATTEMPT_FAILURES as error:
             self._chooser.note_failure(self._scope, attempt, error)
             raise
 
-    async def _take_answer(
+    async def _handle_answer(
         self, attempt: Attempt, call: UpstreamCall, request_id: str
     ) -> None:
         try:
@@ -157,7 +157,7 @@
             self._check_status(attempt, call)
             self._scope.progress.apply(RequestEvent.ANSWER)
             self._chooser.note_first_byte(attempt)
-            await pass_answer(self._scope, call)
+            await forward_answer(self._scope, call)
         except BaseException:
             call.connection.close()
             raise
@@ -166,37 +166,41 @@
         attempt.decision.outcome = f'status {call.head.status}'
 
     def _check_status(self, attempt: Attempt, call: UpstreamCall) -> None:
-        """Ask another replica where that is harmless.
+        """Fail the attempt on a gateway error if the request is idempotent.
 
-        Otherwise a service's error is its answer, and the caller's to read:
-        even a 503 does not prove that nothing ran.
+        Another replica may then answer it. In other cases the error is
+        forwarded as the answer, since even a 503 does not prove that nothing
+        ran.
+
+        :raises UpstreamFailed: for such an error.
         """
-        if call.head.status in FAILED_STATUSES and self._is_repeatable():
+        if call.head.status in GATEWAY_ERRORS and self._is_idempotent():
             raise UpstreamFailed(
                 f'{attempt.upstream.name} answered {call.head.status}'
             )
 
-    def _is_repeatable(self) -> bool:
-        return not self._once and self._scope.head.method in REPEATABLE_METHODS
+    def _is_idempotent(self) -> bool:
+        return not self._once and self._scope.head.method in IDEMPOTENT_METHODS
 
     async def handle_failure(
         self, chosen: Attempt, error: LifttrestleError
     ) -> FailureAction:
-        """Try again where that is harmless and in time."""
+        """Retry if that is safe, in time and within the retry budget."""
         if self._scope.connection.answer_started:
             self._scope.connection.abort()
             raise self._refuse(f'the answer broke off: {error}')
         if (
             not isinstance(error, NOT_RUN_FAILURES)
-            and not self._is_repeatable()
+            and not self._is_idempotent()
         ):
             raise self._refuse(str(error))
         if self._parts.clock.monotonic() >= self._scope.deadline:
             raise RequestRefused(
-                ErrorKind.DEADLINE_EXCEEDED, f'no answer in time: {error}'
+                ErrorKind.DEADLINE_EXCEEDED,
+                f'no answer before the deadline: {error}',
             )
         if not self._parts.budget.take():
-            raise self._refuse(f'no retry is left: {error}')
+            raise self._refuse(f'the retry budget is used up: {error}')
         return FailureAction.RETRY
 
     def _refuse(self, message: str) -> RequestRefused:
--- a/src/lifttrestle/internal/router/service_request.py
+++ b/src/lifttrestle/internal/router/service_request.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Takes requests for plain services to the exchange that fits them."""
+"""Validates requests for plain services and selects their exchange."""
 
 from lifttrestle.errors import RequestRefused
 from lifttrestle.internal.configuration.model import ItemKind
@@ -39,10 +39,10 @@
         self._parts = parts
         self._chooser = chooser
 
-    def check_path(self, scope: RequestScope, route: Route) -> None:
-        """Refuse unknown services, closed paths and bad keys.
+    def check_head(self, scope: RequestScope, route: Route) -> None:
+        """Refuse unknown services, embargoed paths and invalid keys.
 
-        Only the head is needed, so the body need not be read first.
+        Only the head is needed, so the body does not have to be read first.
         """
         workspace = scope.workspace
         if route.service not in workspace.services:
@@ -67,11 +67,12 @@
 
         :raises RequestRefused: if it could not be served.
         """
-        # Asked again: an embargo may have been set while it waited.
-        self.check_path(scope, route)
+        # Checked again, as the request may have waited for admission and an
+        # embargo may have been set in the meantime.
+        self.check_head(scope, route)
         request = ServiceRequest(
             self._find_service(route.service),
-            _build_target(route, scope.head.query),
+            _build_request_target(route, scope.head.query),
             body,
         )
         key = scope.head.get_header(KEY_HEADER)
@@ -87,7 +88,7 @@
             await exchange.run()
             return
         once = any(
-            _covers(rule, route, scope.head.method)
+            _matches(rule, route, scope.head.method)
             for rule in scope.workspace.run_once
         )
         await ServiceExchange(
@@ -122,15 +123,15 @@
         )
 
 
-def _covers(rule: RunOnceRule, route: Route, method: str) -> bool:
+def _matches(rule: RunOnceRule, route: Route, method: str) -> bool:
     if rule.service != route.service or method not in rule.methods:
         return False
     path = normalise_path(route.rest or '/')
     return path.startswith(normalise_path(rule.path_prefix))
 
 
-def _build_target(route: Route, query: str) -> str:
-    """Return what to ask the service for, however the caller wrote it."""
+def _build_request_target(route: Route, query: str) -> str:
+    """Return the request target for the service, in origin form."""
     path = route.rest or '/'
     return f'{path}?{query}' if query else path
 
