--- a/src/lifttrestle/internal/operators/tokens.py
+++ b/src/lifttrestle/internal/operators/tokens.py
@@ -21,8 +21,8 @@
 from lifttrestle.internal.http.head import RequestHead
 from lifttrestle.internal.operators.role import Role
 from lifttrestle.internal.refusal.kind import ErrorKind
-from lifttrestle.internal.router.identify import digest_token
-from lifttrestle.internal.router.identify import read_token
+from lifttrestle.internal.router.authentication import digest_token
+from lifttrestle.internal.router.authentication import read_token
 
 
 class Operator(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
--- a/src/lifttrestle/internal/router/caller_handler.py
+++ b/src/lifttrestle/internal/router/caller_handler.py
@@ -35,11 +35,11 @@
 from lifttrestle.internal.refusal.execution import combine_executions
 from lifttrestle.internal.refusal.execution import Execution
 from lifttrestle.internal.refusal.kind import ErrorKind
+from lifttrestle.internal.router.authentication import check_data_centre
+from lifttrestle.internal.router.authentication import identify_workspace
 from lifttrestle.internal.router.chooser import UpstreamChooser
 from lifttrestle.internal.router.cut import build_cut_refusal
 from lifttrestle.internal.router.cut import find_cut_cause
-from lifttrestle.internal.router.identify import check_data_centre
-from lifttrestle.internal.router.identify import identify_workspace
 from lifttrestle.internal.router.model_exchange import ModelExchange
 from lifttrestle.internal.router.model_request import parse_model_request
 from lifttrestle.internal.router.models_answer import list_models
