--- a/tests/nocover/test_at_most_once.py
+++ b/tests/nocover/test_at_most_once.py
@@ -10,9 +10,10 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""A request with an idempotency key runs at most once.
+"""Requests with an idempotency key run at most once.
 
-The stand-in service counts how often each key ran: the count is the proof.
+The stand-in service counts the runs of each key, and the tests check that
+count.
 """
 
 from collections.abc import Iterator
@@ -34,7 +35,7 @@
 
 
 class TestAtMostOnce(unittest.TestCase):
-    """Two routers, one service, one table that fails on command."""
+    """Two routers and a service; faults are set in the table service."""
 
     def setUp(self) -> None:
         self.deployment = Deployment(
@@ -51,7 +52,7 @@
         headers = {'Idempotency-Key': key}
         return request(router.callers, 'POST', PATH, TOKEN, body, headers)
 
-    def submit_later(
+    def submit_in_background(
         self, router: Router, key: str
     ) -> concurrent.futures.Future:
         return self.pool.submit(self.submit, router, key)
@@ -59,28 +60,28 @@
     def count(self, key: str) -> int:
         return self.deployment.count_runs().get(key, 0)
 
-    def fault_table(self, **faults: object) -> None:
+    def set_table_faults(self, **faults: object) -> None:
         self.deployment.set_faults('table', **faults)
 
     @contextlib.contextmanager
-    def until_arrival(self, name: str, path: str) -> Iterator[None]:
-        """Leave the block once it has made a call reach a stand-in."""
+    def wait_for_arrival(self, name: str, path: str) -> Iterator[None]:
+        """Run the block, then wait until a call has reached a stand-in."""
         before = self.deployment.count_arrivals(name, path)
         yield
         wait_until(lambda: self.deployment.count_arrivals(name, path) > before)
 
-    def claim_under_way(self, key: str) -> concurrent.futures.Future:
-        """Return once the first router's claim has reached the table.
+    def start_claim(self, key: str) -> concurrent.futures.Future:
+        """Return once a claim of the first router has reached the table.
 
-        The table takes a moment over it, and then answers at its old speed.
+        The table writes the claim only after a delay.
         """
-        self.fault_table(delay_seconds=0.4)
-        with self.until_arrival('table', '/v1/transact'):
-            late = self.submit_later(self.one, key)
-        return late
+        self.set_table_faults(delay_seconds=0.4)
+        with self.wait_for_arrival('table', '/v1/transact'):
+            pending = self.submit_in_background(self.one, key)
+        return pending
 
     def wait_until_claimed(self) -> None:
-        """Return once the table has done what it had received."""
+        """End the delay, and wait until the table has done all its writes."""
 
         def is_done() -> bool:
             address = self.deployment.addresses['table']
@@ -88,7 +89,7 @@
             arrived = self.deployment.count_arrivals('table', '/v1/transact')
             return counts['transact'] == arrived
 
-        self.fault_table()
+        self.set_table_faults()
         wait_until(is_done)
 
     def kill(self, router: Router) -> None:
@@ -97,7 +98,7 @@
     def test_two_routers_at_the_same_instant(self) -> None:
         keys = [f'key-{number}' for number in range(40)]
         futures = [
-            (key, self.submit_later(router, key))
+            (key, self.submit_in_background(router, key))
             for key in keys
             for router in (self.one, self.two)
         ]
@@ -109,7 +110,7 @@
             self.assertEqual(self.count(key), 1)
 
     def test_lost_answer_to_the_claim(self) -> None:
-        self.fault_table(drop_answers=1)
+        self.set_table_faults(drop_answers=1)
         statuses = [
             self.submit(self.one, f'lost-{number}').status
             for number in range(5)
@@ -125,7 +126,7 @@
         self.assertEqual(reply.error['ran'], 'not run')
         self.assertEqual(self.count('k'), 1)
 
-    def test_recorded_state_is_told_by_another_router(self) -> None:
+    def test_recorded_state_is_reported_by_another_router(self) -> None:
         self.submit(self.one, 'k')
 
         def is_recorded() -> bool:
@@ -140,29 +141,29 @@
         self.assertEqual(self.count('k'), 1)
 
     def test_paused_between_claim_and_send(self) -> None:
-        late = self.pause_in_claim('paused', 0.0)
-        self.assertEqual(late.result().status, 200)
+        pending = self.pause_in_claim('paused', 0.0)
+        self.assertEqual(pending.result().status, 200)
         self.assertEqual(self.count('paused'), 1)
 
     def test_paused_past_its_deadline(self) -> None:
-        late = self.pause_in_claim('overslept', 5.0)
-        reply = late.result()
-        # Either its claim or its own deadline is what it gives up on.
+        pending = self.pause_in_claim('overslept', 5.0)
+        reply = pending.result()
+        # Either its claim has timed out or its deadline has passed.
         self.assertIn(reply.status, (503, 504))
         self.assertEqual(reply.error['ran'], 'not run')
         self.assertEqual(self.count('overslept'), 0)
-        # It voids its own claim, so the key may be used again.
+        # The router voids its own claim, so the key may be used again.
         wait_until(lambda: self.submit(self.two, 'overslept').status == 200)
         self.assertEqual(self.count('overslept'), 1)
 
     def pause_in_claim(
         self, key: str, seconds: float
     ) -> concurrent.futures.Future:
-        """Stop the first router while its claim is under way."""
-        late = self.claim_under_way(key)
+        """Suspend the first router while its claim is pending."""
+        pending = self.start_claim(key)
         self.one.process.send_signal(signal.SIGSTOP)
         self.wait_until_claimed()
-        # Its holder may wake: the other router must not run it.
+        # The suspended router may resume, so the other must not run it.
         reply = self.submit(self.two, key)
         self.assertEqual(reply.status, 409)
         self.assertEqual(reply.error['code'], 'run_unknown')
@@ -170,33 +171,33 @@
         self.assertEqual(self.count(key), 0)
         time.sleep(seconds)
         self.one.process.send_signal(signal.SIGCONT)
-        return late
+        return pending
 
-    def test_table_out_before_the_claim(self) -> None:
-        self.fault_table(refuse=1_000_000)
+    def test_table_unavailable_before_the_claim(self) -> None:
+        self.set_table_faults(refuse=1_000_000)
         reply = self.submit(self.one, 'out')
         self.assertEqual(reply.status, 503)
         self.assertEqual(reply.error['code'], 'table_unavailable')
         self.assertEqual(reply.error['ran'], 'not run')
         self.assertGreater(int(reply.headers['retry-after']), 0)
         self.assertEqual(self.count('out'), 0)
-        self.fault_table()
+        self.set_table_faults()
         wait_until(lambda: self.submit(self.two, 'out').status != 503)
         wait_until(lambda: self.count('out') == 1)
 
-    def test_table_out_while_it_runs(self) -> None:
+    def test_table_unavailable_during_the_run(self) -> None:
         self.deployment.set_faults(self.service, delay_seconds=0.6)
-        with self.until_arrival(self.service, '/submissions'):
-            running = self.submit_later(self.one, 'mid')
-        self.fault_table(refuse=1_000_000)
+        with self.wait_for_arrival(self.service, '/submissions'):
+            running = self.submit_in_background(self.one, 'mid')
+        self.set_table_faults(refuse=1_000_000)
         self.assertEqual(running.result().status, 200)
         self.deployment.set_faults(self.service)
-        self.fault_table()
+        self.set_table_faults()
 
-        def is_settled() -> bool:
+        def is_recorded() -> bool:
             return self.submit(self.two, 'mid').error['code'] == 'already_run'
 
-        wait_until(is_settled)
+        wait_until(is_recorded)
         self.assertEqual(self.count('mid'), 1)
 
     def test_service_answer_lost(self) -> None:
@@ -209,7 +210,7 @@
         self.assertEqual(reply.status, 409)
         self.assertEqual(self.count('dropped'), 1)
 
-    def test_service_gone_before_sending(self) -> None:
+    def test_service_ended_before_sending(self) -> None:
         address = self.deployment.addresses[self.service]
         self.deployment.standins[self.service].kill()
         reply = self.submit(self.one, 'gone')
@@ -221,7 +222,7 @@
         self.assertEqual(self.count('gone'), 1)
 
     def test_router_killed_while_it_claims(self) -> None:
-        cut = self.claim_under_way('k1')
+        cut = self.start_claim('k1')
         self.kill(self.one)
         self.wait_until_claimed()
         self.assertIsNotNone(cut.exception())
@@ -231,8 +232,8 @@
 
     def test_router_killed_while_the_service_runs(self) -> None:
         self.deployment.set_faults(self.service, delay_seconds=0.5)
-        with self.until_arrival(self.service, '/submissions'):
-            cut = self.submit_later(self.one, 'k2')
+        with self.wait_for_arrival(self.service, '/submissions'):
+            cut = self.submit_in_background(self.one, 'k2')
         self.kill(self.one)
         self.assertIsNotNone(cut.exception())
         self.deployment.set_faults(self.service)
@@ -241,7 +242,7 @@
         self.assertEqual(reply.error['code'], 'run_unknown')
         self.assertEqual(self.count('k2'), 1)
 
-    def test_caller_that_leaves_does_not_undo_it(self) -> None:
+    def test_outcome_is_recorded_after_the_caller_disconnects(self) -> None:
         self.deployment.set_faults(self.service, delay_seconds=0.5)
         with self.assertRaises(TimeoutError):
             request(
@@ -274,7 +275,7 @@
 
 
 class TestServiceThatDropsRepeats(unittest.TestCase):
-    """Its own memory of keys takes the place of claims."""
+    """Such a service remembers keys itself, so no claims are made."""
 
     def test_is_served_without_the_table(self) -> None:
         deployment = Deployment(
--- a/tests/nocover/test_bad_input.py
+++ b/tests/nocover/test_bad_input.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Each row of the table of bad input, through a raw socket."""
+"""Invalid input, most of it sent through a raw socket."""
 
 import unittest
 
@@ -31,7 +31,7 @@
 
 
 class TestBadInput(unittest.TestCase):
-    """Every refusal is JSON with kind, whether it ran, and what to do."""
+    """Each refusal is JSON with its kind, whether it ran, and a remedy."""
 
     @classmethod
     def setUpClass(cls) -> None:
@@ -59,8 +59,8 @@
         )
         cls.address = cls.deployment.router.callers
 
-    def refuse(self, data: bytes, status: int, kind: str) -> dict:
-        """Send bytes, check the refusal's shape and return its error."""
+    def check_refusal(self, data: bytes, status: int, kind: str) -> dict:
+        """Send bytes, check the fields of the refusal and return its error."""
         answer = exchange(self.address, data)
         self.assertEqual(read_status(answer), status, answer)
         error = read_error(answer)
@@ -71,32 +71,34 @@
         return error
 
     def test_malformed_head(self) -> None:
-        self.refuse(b'NOT HTTP AT ALL\r\n\r\n', 400, 'malformed_request')
+        self.check_refusal(
+            b'NOT HTTP AT ALL\r\n\r\n', 400, 'malformed_request'
+        )
 
     def test_head_over_the_limit(self) -> None:
         data = b'GET / HTTP/1.1\r\nHost: a\r\nX: ' + b'x' * 8000
-        self.refuse(data, 431, 'head_too_large')
+        self.check_refusal(data, 431, 'head_too_large')
 
     def test_slow_head(self) -> None:
-        self.refuse(b'GET / HTTP/1.1\r\nHos', 408, 'slow_request')
+        self.check_refusal(b'GET / HTTP/1.1\r\nHos', 408, 'slow_request')
 
     def test_announced_body_over_the_limit(self) -> None:
         data = POST + b'Content-Length: 5000\r\n\r\n'
-        error = self.refuse(data, 413, 'body_too_large')
+        error = self.check_refusal(data, 413, 'body_too_large')
         self.assertEqual(error['param'], 'body')
 
     def test_chunked_body_over_the_limit(self) -> None:
         chunk = b'7d0\r\n' + b'x' * 2000 + b'\r\n'
         data = POST + b'Transfer-Encoding: chunked\r\n\r\n' + chunk * 2
-        self.refuse(data, 413, 'body_too_large')
+        self.check_refusal(data, 413, 'body_too_large')
 
     def test_slow_body(self) -> None:
         data = POST + b'Content-Length: 100\r\n\r\n{"model"'
-        self.refuse(data, 408, 'slow_request')
+        self.check_refusal(data, 408, 'slow_request')
 
     def test_two_lengths_that_differ(self) -> None:
         data = POST + b'Content-Length: 5\r\nContent-Length: 6\r\n\r\nhello'
-        self.refuse(data, 400, 'malformed_request')
+        self.check_refusal(data, 400, 'malformed_request')
 
     def test_length_and_chunks(self) -> None:
         data = (
@@ -108,9 +110,9 @@
         self.assertEqual(read_status(answer), 400)
         self.assertEqual(answer.count(b'content-length: '), 1, answer)
 
-    def test_length_that_is_no_number(self) -> None:
+    def test_length_that_is_not_a_number(self) -> None:
         data = POST + b'Content-Length: -5\r\n\r\n'
-        self.refuse(data, 400, 'malformed_request')
+        self.check_refusal(data, 400, 'malformed_request')
 
     def test_body_cut_short_is_never_run(self) -> None:
         before = self.deployment.count_runs()
@@ -124,16 +126,16 @@
 
     def test_no_token(self) -> None:
         data = b'GET /v1/models HTTP/1.1\r\nHost: a\r\n' + CLOSE + b'\r\n'
-        self.refuse(data, 401, 'unauthorised')
+        self.check_refusal(data, 401, 'unauthorised')
 
-    def test_unknown_token_tells_nothing(self) -> None:
+    def test_unknown_token_reveals_nothing(self) -> None:
         answers = set()
         for path in (b'/v1/models', b'/grid-app/x', b'/no-such-service/x'):
             data = (
                 b'GET ' + path + b' HTTP/1.1\r\nHost: a\r\n'
                 b'Authorization: Bearer wrong\r\n' + CLOSE + b'\r\n'
             )
-            error = self.refuse(data, 401, 'unauthorised')
+            error = self.check_refusal(data, 401, 'unauthorised')
             del error['request_id']
             answers.add(str(error))
         self.assertEqual(len(answers), 1)
@@ -145,7 +147,7 @@
             + CLOSE
             + b'\r\n'
         )
-        self.refuse(data, 404, 'not_found')
+        self.check_refusal(data, 404, 'not_found')
 
     def test_wrong_method(self) -> None:
         data = (
@@ -154,19 +156,19 @@
             + CLOSE
             + b'\r\n'
         )
-        self.refuse(data, 405, 'method_not_allowed')
+        self.check_refusal(data, 405, 'method_not_allowed')
 
-    def test_wrong_place_is_told_before_the_body(self) -> None:
-        # The body never comes: only an answer to the head alone ends this.
+    def test_wrong_data_centre_is_refused_before_the_body(self) -> None:
+        # The body is never sent, so the head alone must be answered.
         data = (
             b'POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\n'
             b'Authorization: Bearer elsewhere-token\r\n'
             b'Content-Length: 500\r\n\r\n'
         )
-        error = self.refuse(data, 421, 'wrong_place')
+        error = self.check_refusal(data, 421, 'wrong_place')
         self.assertEqual(error['data_centres'], ['bkk-bangna'])
 
-    def test_embargo_holds_for_every_spelling(self) -> None:
+    def test_embargo_applies_to_every_spelling(self) -> None:
         for path in (
             b'/grid-app/answers/sunday',
             b'/grid-app/answers/sunday/sheet.pdf',
@@ -194,9 +196,9 @@
 
     def test_body_that_is_not_json(self) -> None:
         for body in (b'not json', b'[]', b'"x"', b'\xff\xfe', b'[' * 1900):
-            self.refuse_body(body, 'body')
+            self.check_body_refusal(body, 'body')
 
-    def test_fields_are_named(self) -> None:
+    def test_refusal_names_the_invalid_field(self) -> None:
         for body, field in (
             (b'{"messages": []}', 'model'),
             (b'{"model": "clue-writer"}', 'messages'),
@@ -221,17 +223,17 @@
                 'stream_options',
             ),
         ):
-            self.refuse_body(body, field)
+            self.check_body_refusal(body, field)
 
-    def refuse_body(self, body: bytes, field: str) -> None:
+    def check_body_refusal(self, body: bytes, field: str) -> None:
         length = b'Content-Length: %d\r\n' % len(body)
         data = POST + CLOSE + length + b'\r\n' + body
-        error = self.refuse(data, 400, 'invalid_value')
+        error = self.check_refusal(data, 400, 'invalid_value')
         self.assertEqual(error['param'], field)
 
-    def test_target_that_is_no_path(self) -> None:
+    def test_target_that_is_not_a_path(self) -> None:
         data = b'GET http://[ HTTP/1.1\r\nHost: a\r\n' + AUTH + CLOSE + b'\r\n'
-        self.refuse(data, 400, 'malformed_request')
+        self.check_refusal(data, 400, 'malformed_request')
 
     def test_absolute_target_reaches_the_same_path(self) -> None:
         data = (
@@ -262,16 +264,16 @@
         self.assertEqual(reply.error['ran'], 'not run')
         self.assertGreater(int(reply.headers['retry-after']), 0)
 
-    def test_over_the_rate_is_told_before_the_body(self) -> None:
+    def test_over_the_rate_is_refused_before_the_body(self) -> None:
         for _ in range(3):
             request(self.address, 'GET', '/grid-app/x', 'slow-token')
-        # The body never comes: only an answer to the head alone ends this.
+        # The body is never sent, so the head alone must be answered.
         data = (
             b'POST /grid-app/x HTTP/1.1\r\nHost: a\r\n'
             b'Authorization: Bearer slow-token\r\n'
             b'Content-Length: 500\r\n\r\n'
         )
-        self.refuse(data, 429, 'rate_limited')
+        self.check_refusal(data, 429, 'rate_limited')
 
     def test_idempotency_key_too_long(self) -> None:
         reply = request(
--- a/tests/nocover/test_doors.py
+++ b/tests/nocover/test_doors.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""TLS and roles at the doors, metrics, and the one installable file."""
+"""TLS, roles, traces, peer messages, metrics and the installable file."""
 
 import datetime
 import ipaddress
@@ -40,7 +40,7 @@
 
 
 def write_certificate(folder: pathlib.Path) -> None:
-    """Write a key and a certificate for the loopback number."""
+    """Write a key and a self-signed certificate for the loopback address."""
     key = ec.generate_private_key(ec.SECP256R1())
     name = x509.Name(
         [x509.NameAttribute(x509.oid.NameOID.COMMON_NAME, 'test')]
@@ -60,8 +60,8 @@
         .sign(key, hashes.SHA256())
     )
     pem = serialization.Encoding.PEM
-    (folder / 'door.crt').write_bytes(certificate.public_bytes(pem))
-    (folder / 'door.key').write_bytes(
+    (folder / 'tls.crt').write_bytes(certificate.public_bytes(pem))
+    (folder / 'tls.key').write_bytes(
         key.private_bytes(
             pem,
             serialization.PrivateFormat.PKCS8,
@@ -75,23 +75,23 @@
     def setUpClass(cls) -> None:
         cls.deployment = Deployment(
             engines=0,
-            extra='tls = { callers_certificate = "door.crt",'
-            ' callers_key = "door.key",'
-            ' operators_certificate = "door.crt",'
-            ' operators_key = "door.key" }',
+            extra='tls = { callers_certificate = "tls.crt",'
+            ' callers_key = "tls.key",'
+            ' operators_certificate = "tls.crt",'
+            ' operators_key = "tls.key" }',
         )
         write_certificate(cls.deployment.folder)
         cls.enterClassContext(cls.deployment)
 
-    def test_callers_door_speaks_tls_only(self) -> None:
+    def test_callers_endpoint_accepts_tls_only(self) -> None:
         router = self.deployment.router
         host, _, port = router.callers.rpartition(':')
-        authority = str(self.deployment.folder / 'door.crt')
+        authority = str(self.deployment.folder / 'tls.crt')
         context = ssl.create_default_context(cafile=authority)
         with socket.create_connection((host, int(port)), 10) as raw:
-            with context.wrap_socket(raw, server_hostname=host) as door:
-                door.sendall(b'GET /ready HTTP/1.1\r\nHost: a\r\n\r\n')
-                self.assertIn(b'200 OK', door.recv(1000))
+            with context.wrap_socket(raw, server_hostname=host) as secured:
+                secured.sendall(b'GET /ready HTTP/1.1\r\nHost: a\r\n\r\n')
+                self.assertIn(b'200 OK', secured.recv(1000))
         with self.assertRaises(OSError):
             request(router.callers, 'GET', '/ready', timeout=5)
 
@@ -109,7 +109,7 @@
                 '--token-file',
                 str(token),
                 '--authority',
-                str(self.deployment.folder / 'door.crt'),
+                str(self.deployment.folder / 'tls.crt'),
             ],
             capture_output=True,
             text=True,
@@ -119,7 +119,7 @@
 
 
 class TestRoles(unittest.TestCase):
-    def test_each_role_may_do_its_part(self) -> None:
+    def test_each_role_has_its_permissions(self) -> None:
         deployment = Deployment(engines=0)
         self.enterContext(deployment)
         router = deployment.router
@@ -151,7 +151,7 @@
 
 
 class TestRecord(unittest.TestCase):
-    def test_recorded_trace_can_be_replayed_and_holds_no_text(self) -> None:
+    def test_recorded_trace_can_be_replayed_and_contains_no_text(self) -> None:
         deployment = Deployment(engines=1, services=0)
         self.enterContext(deployment)
         router = deployment.router
@@ -185,8 +185,10 @@
         self.assertEqual(main(['replay', str(path)]), 0)
 
 
-class TestPeersDoor(unittest.TestCase):
-    def test_garbage_is_dropped_and_greetings_go_on(self) -> None:
+class TestPeersEndpoint(unittest.TestCase):
+    def test_invalid_messages_are_dropped_and_the_exchange_continues(
+        self,
+    ) -> None:
         deployment = Deployment(engines=0, routers=2)
         self.enterContext(deployment)
         one, two = deployment.routers.values()
@@ -229,9 +231,9 @@
 
 
 class TestDistribution(unittest.TestCase):
-    """The file that ``make dist`` builds runs the product by itself."""
+    """The file that ``make dist`` builds runs without any other file."""
 
-    def test_router_runs_from_the_one_file(self) -> None:
+    def test_router_runs_from_the_built_file(self) -> None:
         built = subprocess.run(
             ['make', 'dist'], cwd=ROOT, capture_output=True, text=True
         )
@@ -245,7 +247,7 @@
         deployment.configure_usual()
         reply = request(router.callers, 'GET', '/grid-app/x', 'daily-token')
         self.assertEqual(reply.status, 200)
-        # A product process starts no other.
+        # The router must not start any child process.
         tasks = pathlib.Path(f'/proc/{router.process.pid}/task')
         children = [
             (item / 'children').read_text() for item in tasks.iterdir()
--- a/tests/nocover/test_place.py
+++ b/tests/nocover/test_place.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Nothing of a workspace leaves its place, whatever fails inside it."""
+"""Requests never leave their data centres, whatever fails inside them."""
 
 import concurrent.futures
 import unittest
@@ -28,7 +28,7 @@
 OUTSIDE = 'bkk-bangna'
 
 
-class TestPlace(unittest.TestCase):
+class TestDataCentres(unittest.TestCase):
     def setUp(self) -> None:
         self.deployment = Deployment(
             (INSIDE, OUTSIDE),
@@ -43,7 +43,7 @@
         self.deployment.configure([workspace('pinned', [INSIDE])])
         self.address = self.deployment.routers[f'{INSIDE}-1'].callers
 
-    def check_nothing_outside(self) -> None:
+    def check_nothing_sent_outside(self) -> None:
         counts = request(
             self.deployment.addresses[f'engine-{OUTSIDE}-1'],
             'GET',
@@ -57,7 +57,7 @@
         )
         self.assertEqual(runs.json(), {})
 
-    def test_dead_engine_sends_no_one_outside(self) -> None:
+    def test_request_is_not_sent_outside_after_the_engine_ended(self) -> None:
         self.deployment.standins[f'engine-{INSIDE}-1'].kill()
         reply = request(
             self.address,
@@ -67,7 +67,7 @@
             {'model': MODEL, 'prompt': 'x', 'max_tokens': 2},
         )
         self.assertIn(reply.status, (502, 503))
-        self.check_nothing_outside()
+        self.check_nothing_sent_outside()
 
     def test_cut_stream_is_not_continued_outside(self) -> None:
         self.deployment.set_faults(
@@ -84,19 +84,19 @@
                 model=MODEL, prompt='x', max_tokens=20, stream=True
             ):
                 pass
-        self.check_nothing_outside()
+        self.check_nothing_sent_outside()
 
-    def test_dead_service_sends_no_one_outside(self) -> None:
+    def test_request_is_not_sent_outside_after_the_service_ended(self) -> None:
         self.deployment.standins[f'grid-app-{INSIDE}-1'].kill()
         for method in ('GET', 'POST'):
             reply = request(
                 self.address, method, '/grid-app/x', 'pinned-token'
             )
             self.assertIn(reply.status, (502, 503))
-        self.check_nothing_outside()
+        self.check_nothing_sent_outside()
 
-    def test_right_lost_while_waiting_is_lost(self) -> None:
-        # The one slot is taken while the second request waits for it.
+    def test_right_withdrawn_while_waiting_is_enforced(self) -> None:
+        # The first request takes the only slot; the second one waits for it.
         address = self.address
         body = {
             'model': MODEL,
@@ -124,7 +124,7 @@
         status = self.deployment.routers[f'{INSIDE}-1'].status()
         return any(item['in_flight'] for item in status['upstreams'])
 
-    def test_narrowed_place_holds_at_once(self) -> None:
+    def test_removed_data_centre_is_refused_at_once(self) -> None:
         self.deployment.configure([workspace('pinned', [OUTSIDE])])
         reply = request(self.address, 'GET', '/grid-app/x', 'pinned-token')
         self.assertEqual(reply.status, 421)
--- a/tests/nocover/test_whole_path.py
+++ b/tests/nocover/test_whole_path.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""One caller's request from end to end, through real processes."""
+"""Requests of callers from end to end, through real processes."""
 
 import http.client
 import unittest
@@ -31,7 +31,7 @@
 ]
 
 
-class TestWholePath(unittest.TestCase):
+class TestEndToEnd(unittest.TestCase):
     """Two data centres, each with a router, two engines and a service."""
 
     @classmethod
@@ -49,9 +49,9 @@
         self.addCleanup(client.close)
         return client
 
-    def test_streamed_answer_equals_whole_answer(self) -> None:
+    def test_streamed_answer_equals_complete_answer(self) -> None:
         client = self.make_client()
-        whole = client.chat.completions.create(
+        complete = client.chat.completions.create(
             model=MODEL, messages=MESSAGES, max_tokens=20
         )
         stream = client.chat.completions.create(
@@ -62,7 +62,7 @@
             for chunk in stream
             if chunk.choices
         ]
-        self.assertEqual(''.join(parts), whole.choices[0].message.content)
+        self.assertEqual(''.join(parts), complete.choices[0].message.content)
         self.assertGreater(len(parts), 10)
 
     def test_second_answer_shows_cached_tokens(self) -> None:
@@ -89,11 +89,11 @@
         )
         self.assertEqual(len(answer.choices[0].text.split()), 6)
 
-    def test_models_are_the_workspaces(self) -> None:
+    def test_models_are_those_of_the_workspace(self) -> None:
         models = self.make_client().models.list()
         self.assertEqual([item.id for item in models.data], [MODEL])
 
-    def test_client_sees_its_own_exception_types(self) -> None:
+    def test_client_raises_its_own_exception_types(self) -> None:
         with self.assertRaises(openai.AuthenticationError):
             self.make_client('wrong').models.list()
         with self.assertRaises(openai.NotFoundError):
@@ -111,13 +111,13 @@
         self.assertEqual(reply.status, 200)
         self.assertEqual(reply.json()['path'], '/grids/7?page=2')
 
-    def test_long_answer_is_passed_on_whole(self) -> None:
+    def test_long_answer_is_forwarded_completely(self) -> None:
         address = self.deployment.routers['bkk-silom-1'].callers
         reply = request(address, 'GET', f'/grid-app/bytes/{LONG}', TOKEN)
         self.assertEqual(reply.status, 200)
         self.assertEqual(reply.body, b'x' * LONG)
 
-    def test_long_answer_cut_short_is_no_answer(self) -> None:
+    def test_truncated_long_answer_fails_for_the_caller(self) -> None:
         address = self.deployment.routers['bkk-silom-1'].callers
         for name in self.deployment.addresses:
             if name.startswith('grid-app'):
@@ -128,13 +128,13 @@
             if name.startswith('grid-app'):
                 self.deployment.set_faults(name)
 
-    def test_head_tells_the_length_and_sends_no_body(self) -> None:
+    def test_answer_to_head_has_a_length_and_no_body(self) -> None:
         address = self.deployment.routers['bkk-silom-1'].callers
         reply = request(address, 'HEAD', '/grid-app/bytes/1234', TOKEN)
         self.assertEqual(reply.headers['content-length'], '1234')
         self.assertEqual(reply.body, b'')
 
-    def test_other_place_is_refused_with_where_to_go(self) -> None:
+    def test_other_data_centre_is_refused_with_the_allowed_ones(self) -> None:
         silom = self.deployment.routers['bkk-silom-1'].callers
         bangna = self.deployment.routers['bkk-bangna-1'].callers
         refused = request(silom, 'GET', '/grid-app/x', 'bangna-only-token')
@@ -164,7 +164,7 @@
                 if 'routing:' in line and request_id in line
             ]
 
-        # The line follows the answer, since it tells how that ended.
+        # The decision is logged after the answer, since it holds the outcome.
         wait_until(list_decisions)
         decisions = list_decisions()
         self.assertEqual(len(decisions), 1, lines)
