--- a/src/lifttrestle/internal/router/once_exchange.py
+++ b/src/lifttrestle/internal/router/once_exchange.py
@@ -114,7 +114,9 @@
         try:
             async with asyncio.timeout(max(remaining, 0)):
                 outcome = await self._parts.ledger.claim(
-                    self._run_key, self._attempt_id, self._fingerprint()
+                    self._run_key,
+                    self._attempt_id,
+                    self._compute_fingerprint(),
                 )
         except (PlatformUnavailable, TimeoutError) as error:
             # The claim may have been written, or its write may still be in
@@ -224,7 +226,7 @@
         if claim is not None:
             self._parts.ledger.schedule_finish(claim, state, status)
 
-    def _fingerprint(self) -> str:
+    def _compute_fingerprint(self) -> str:
         method = self._scope.head.method
         digest = hashlib.sha256(f'{method} {self._request.rest}\n'.encode())
         digest.update(self._request.body)
@@ -232,7 +234,10 @@
 
     def _build_conflict_refusal(self, record: RunRecord) -> RequestRefused:
         key = self._run_key.key
-        if record.fingerprint and record.fingerprint != self._fingerprint():
+        if (
+            record.fingerprint
+            and record.fingerprint != self._compute_fingerprint()
+        ):
             return RequestRefused(
                 ErrorKind.KEY_REUSED,
                 f'the idempotency key {key!r} belongs to another request',
