--- a/src/lifttrestle/internal/router/parts.py
+++ b/src/lifttrestle/internal/router/parts.py
@@ -23,8 +23,8 @@
 from lifttrestle.internal.membership.peers import Peers
 from lifttrestle.internal.replay.recorder import TraceRecorder
 from lifttrestle.internal.router.background import BackgroundTasks
-from lifttrestle.internal.router.needed_times import NeededTimes
 from lifttrestle.internal.router.planned_stop import PlannedStop
+from lifttrestle.internal.router.recent_durations import NeededTimes
 from lifttrestle.internal.routing.policy import Policy
 from lifttrestle.internal.runrecord.ledger import RunLedger
 from lifttrestle.internal.settings.router import RouterSettings
--- a/src/lifttrestle/internal/router/process.py
+++ b/src/lifttrestle/internal/router/process.py
@@ -45,10 +45,10 @@
 from lifttrestle.internal.router.background import BackgroundTasks
 from lifttrestle.internal.router.caller_handler import CallerHandler
 from lifttrestle.internal.router.caller_handler import make_request_id
-from lifttrestle.internal.router.needed_times import NeededTimes
 from lifttrestle.internal.router.parts import RouterParts
 from lifttrestle.internal.router.planned_stop import PlannedStop
 from lifttrestle.internal.router.readiness import Readiness
+from lifttrestle.internal.router.recent_durations import NeededTimes
 from lifttrestle.internal.router.stop_sequence import StopSequence
 from lifttrestle.internal.routing.nested import NestedPolicy
 from lifttrestle.internal.runrecord.ledger import RunLedger
--- a/tests/cover/test_needed_times.py
+++ b/tests/cover/test_recent_durations.py
@@ -16,8 +16,8 @@
 import unittest
 
 from lifttrestle.internal.clock.manual import ManualClock
-from lifttrestle.internal.router.needed_times import NeededTimes
-from lifttrestle.internal.router.needed_times import SPAN_SECONDS
+from lifttrestle.internal.router.recent_durations import NeededTimes
+from lifttrestle.internal.router.recent_durations import SPAN_SECONDS
 
 START = datetime.datetime(2026, 1, 1, tzinfo=datetime.timezone.utc)
 
