--- a/src/lifttrestle/internal/router/caller_handler.py
+++ b/src/lifttrestle/internal/router/caller_handler.py
@@ -118,7 +118,7 @@
         )
         if route.kind is RouteKind.SERVICE:
             self._services.check_path(scope, route)
-        async with self._parts.stop.bound_request():
+        async with self._parts.stop.enforce_deadline():
             await self._admit(scope, route)
 
     async def _admit(self, scope: RequestScope, route: Route) -> None:
@@ -174,11 +174,14 @@
             what is left.
         """
         needed = self._parts.needed
-        if needed.get_longest(target) > self._parts.stop.count_left():
+        if (
+            needed.get_longest(target)
+            > self._parts.stop.get_remaining_seconds()
+        ):
             raise build_cut_refusal(Execution.NOT_RUN)
         started = self._parts.clock.monotonic()
         yield
-        needed.note(target, self._parts.clock.monotonic() - started)
+        needed.record(target, self._parts.clock.monotonic() - started)
 
     def _identify(self, head: RequestHead) -> Workspace:
         """Return the caller's workspace, if it may be served here now."""
--- a/src/lifttrestle/internal/router/chooser.py
+++ b/src/lifttrestle/internal/router/chooser.py
@@ -21,7 +21,7 @@
 from lifttrestle.internal.exchange.progress import RequestEvent
 from lifttrestle.internal.refusal.kind import ErrorKind
 from lifttrestle.internal.router.attempt import Attempt
-from lifttrestle.internal.router.cut import name_attempt_end
+from lifttrestle.internal.router.cut import describe_outcome
 from lifttrestle.internal.router.parts import RouterParts
 from lifttrestle.internal.router.scope import RequestScope
 from lifttrestle.internal.routing.candidate import Candidate
@@ -121,7 +121,7 @@
         try:
             yield
         except BaseException as error:
-            attempt.decision.outcome = name_attempt_end(
+            attempt.decision.outcome = describe_outcome(
                 error, parts.stop.begun
             )
             raise
--- a/src/lifttrestle/internal/router/cut.py
+++ b/src/lifttrestle/internal/router/cut.py
@@ -52,7 +52,7 @@
     return CutCause.STOP if stopping else CutCause.CANCELLED
 
 
-def name_attempt_end(error: BaseException, stopping: bool) -> str:
+def describe_outcome(error: BaseException, stopping: bool) -> str:
     """Return the outcome of an attempt that an exception ended."""
     if isinstance(error, (CallerGone, asyncio.CancelledError)):
         return find_cut_cause(error, stopping).value
--- a/src/lifttrestle/internal/router/parts.py
+++ b/src/lifttrestle/internal/router/parts.py
@@ -24,7 +24,7 @@
 from lifttrestle.internal.replay.recorder import TraceRecorder
 from lifttrestle.internal.router.background import BackgroundTasks
 from lifttrestle.internal.router.planned_stop import PlannedStop
-from lifttrestle.internal.router.recent_durations import NeededTimes
+from lifttrestle.internal.router.recent_durations import RecentDurations
 from lifttrestle.internal.routing.policy import Policy
 from lifttrestle.internal.runrecord.ledger import RunLedger
 from lifttrestle.internal.settings.router import RouterSettings
@@ -54,5 +54,5 @@
     metrics: Metrics
     background: BackgroundTasks
     stop: PlannedStop
-    needed: NeededTimes
+    needed: RecentDurations
     recorder: TraceRecorder | None = None
--- a/src/lifttrestle/internal/router/planned_stop.py
+++ b/src/lifttrestle/internal/router/planned_stop.py
@@ -40,14 +40,14 @@
             if not bound.expired():
                 bound.reschedule(self._cut_at)
 
-    def count_left(self) -> float:
+    def get_remaining_seconds(self) -> float:
         """Return the seconds that a request has, without end before a stop."""
         if self._cut_at is None:
             return math.inf
         return self._cut_at - asyncio.get_running_loop().time()
 
     @contextlib.asynccontextmanager
-    async def bound_request(self) -> AsyncIterator[None]:
+    async def enforce_deadline(self) -> AsyncIterator[None]:
         """Let a request run until the stop can't wait for it.
 
         :raises CutByStop: then.
--- a/src/lifttrestle/internal/router/process.py
+++ b/src/lifttrestle/internal/router/process.py
@@ -48,7 +48,7 @@
 from lifttrestle.internal.router.parts import RouterParts
 from lifttrestle.internal.router.planned_stop import PlannedStop
 from lifttrestle.internal.router.readiness import Readiness
-from lifttrestle.internal.router.recent_durations import NeededTimes
+from lifttrestle.internal.router.recent_durations import RecentDurations
 from lifttrestle.internal.router.stop_sequence import StopSequence
 from lifttrestle.internal.routing.nested import NestedPolicy
 from lifttrestle.internal.runrecord.ledger import RunLedger
@@ -157,7 +157,7 @@
             metrics=metrics,
             background=BackgroundTasks(),
             stop=self._planned,
-            needed=NeededTimes(self._clock),
+            needed=RecentDurations(self._clock),
             recorder=self._make_recorder(),
         )
         intent = IntentService(
--- a/src/lifttrestle/internal/router/recent_durations.py
+++ b/src/lifttrestle/internal/router/recent_durations.py
@@ -19,7 +19,7 @@
 SPAN_SECONDS = 300.0
 
 
-class NeededTimes:
+class RecentDurations:
     """Remembers the longest time of each target over the last spans."""
 
     def __init__(self, clock: Clock) -> None:
@@ -28,7 +28,7 @@
         self._before: dict[str, float] = {}
         self._now: dict[str, float] = {}
 
-    def note(self, target: str, seconds: float) -> None:
+    def record(self, target: str, seconds: float) -> None:
         """Remember a request that was served to its end."""
         self._turn()
         self._now[target] = max(self._now.get(target, 0.0), seconds)
--- a/tests/cover/test_cut.py
+++ b/tests/cover/test_cut.py
@@ -24,8 +24,8 @@
 from lifttrestle.internal.refusal.execution import Execution
 from lifttrestle.internal.router.cut import build_cut_refusal
 from lifttrestle.internal.router.cut import CutCause
+from lifttrestle.internal.router.cut import describe_outcome
 from lifttrestle.internal.router.cut import find_cut_cause
-from lifttrestle.internal.router.cut import name_attempt_end
 from lifttrestle.internal.router.planned_stop import PlannedStop
 
 
@@ -42,13 +42,13 @@
             with self.subTest(error=error, stopping=stopping):
                 cause = find_cut_cause(error, stopping)
                 self.assertIs(cause, expected)
-                name = name_attempt_end(error, stopping)
+                name = describe_outcome(error, stopping)
                 self.assertEqual(name, expected.value)
 
     def test_failure_and_fault_stay_what_they_are(self) -> None:
         lost = UpstreamLost('it broke off')
-        self.assertEqual(name_attempt_end(lost, True), 'it broke off')
-        fault = name_attempt_end(KeyError('x'), True)
+        self.assertEqual(describe_outcome(lost, True), 'it broke off')
+        fault = describe_outcome(KeyError('x'), True)
         self.assertEqual(fault, "fault: KeyError('x')")
 
 
@@ -74,7 +74,7 @@
 
 class TestPlannedStop(unittest.IsolatedAsyncioTestCase):
     async def wait_for_ever(self, stop: PlannedStop) -> None:
-        async with stop.bound_request():
+        async with stop.enforce_deadline():
             await asyncio.Event().wait()
 
     async def test_requests_before_and_after_the_order_are_ended(self) -> None:
@@ -94,7 +94,7 @@
     async def test_other_ends_stay_what_they_are(self) -> None:
         stop = PlannedStop()
         with self.assertRaises(TimeoutError):
-            async with stop.bound_request():
+            async with stop.enforce_deadline():
                 raise TimeoutError
         running = asyncio.create_task(self.wait_for_ever(stop))
         await asyncio.sleep(0)
--- a/tests/cover/test_recent_durations.py
+++ b/tests/cover/test_recent_durations.py
@@ -16,30 +16,30 @@
 import unittest
 
 from lifttrestle.internal.clock.manual import ManualClock
-from lifttrestle.internal.router.recent_durations import NeededTimes
+from lifttrestle.internal.router.recent_durations import RecentDurations
 from lifttrestle.internal.router.recent_durations import SPAN_SECONDS
 
 START = datetime.datetime(2026, 1, 1, tzinfo=datetime.timezone.utc)
 
 
-class TestNeededTimes(unittest.TestCase):
+class TestRecentDurations(unittest.TestCase):
     def setUp(self) -> None:
         self.clock = ManualClock(START)
-        self.times = NeededTimes(self.clock)
+        self.times = RecentDurations(self.clock)
 
     def test_longest_of_each_target(self) -> None:
         self.assertEqual(self.times.get_longest('model'), 0.0)
         for seconds in (2.0, 9.0, 3.0):
-            self.times.note('model', seconds)
-        self.times.note('service', 0.1)
+            self.times.record('model', seconds)
+        self.times.record('service', 0.1)
         self.assertEqual(self.times.get_longest('model'), 9.0)
         self.assertEqual(self.times.get_longest('service'), 0.1)
 
     def test_is_kept_for_one_span_and_forgotten_after_two(self) -> None:
-        self.times.note('model', 9.0)
+        self.times.record('model', 9.0)
         self.clock.advance(SPAN_SECONDS)
         self.assertEqual(self.times.get_longest('model'), 9.0)
-        self.times.note('model', 2.0)
+        self.times.record('model', 2.0)
         self.clock.advance(SPAN_SECONDS)
         self.assertEqual(self.times.get_longest('model'), 2.0)
         self.clock.advance(2 * SPAN_SECONDS)
--- a/tests/nocover/test_configuration.py
+++ b/tests/nocover/test_configuration.py
@@ -51,7 +51,7 @@
         self.bangna = self.deployment.routers[f'{BANGNA}-1']
 
     def plan(self, *changes: dict, router: Router | None = None) -> str:
-        reply = self.deployment.operate(
+        reply = self.deployment.call_intent_api(
             router or self.silom,
             'POST',
             '/intent/plans',
@@ -63,7 +63,7 @@
     def confirm(
         self, plan_id: str, wait: float = 5.0, router: Router | None = None
     ):  # noqa: ANN201
-        return self.deployment.operate(
+        return self.deployment.call_intent_api(
             router or self.silom,
             'POST',
             f'/intent/plans/{plan_id}/confirm',
@@ -71,7 +71,7 @@
         )
 
     def get_state(self, plan_id: str) -> str:
-        reply = self.deployment.operate(
+        reply = self.deployment.call_intent_api(
             self.silom, 'GET', f'/intent/plans/{plan_id}'
         )
         return reply.json()['plan']['state']
@@ -189,7 +189,7 @@
         plan_id = self.plan(workspace('daily', [SILOM]))
         self.bangna.process.send_signal(signal.SIGSTOP)
         self.confirm(plan_id, 0.5)
-        reply = self.deployment.operate(
+        reply = self.deployment.call_intent_api(
             self.silom, 'POST', f'/intent/plans/{plan_id}/withdraw'
         )
         self.assertEqual(reply.json()['plan']['state'], 'withdrawn')
@@ -216,7 +216,7 @@
             ),
             (taken, 'workspace other.token_digests'),
         ):
-            reply = self.deployment.operate(
+            reply = self.deployment.call_intent_api(
                 self.silom, 'POST', '/intent/plans', changes=[change]
             )
             self.assertEqual(reply.status, 400)
@@ -400,7 +400,7 @@
         # withdrawn, which leaves both at revision 1. The second change
         # concerns another data centre and is applied by only one of the two.
         self.confirm(plan_id, 0.2)
-        self.deployment.operate(
+        self.deployment.call_intent_api(
             one, 'POST', f'/intent/plans/{plan_id}/withdraw'
         )
         other = self.plan(workspace('bangna-only', [BANGNA]))
--- a/tests/support/deployment.py
+++ b/tests/support/deployment.py
@@ -247,10 +247,12 @@
     ) -> dict:
         """Plan and confirm changes; return the plan, in force."""
         router = router or self.router
-        made = self.operate(router, 'POST', '/intent/plans', changes=changes)
+        made = self.call_intent_api(
+            router, 'POST', '/intent/plans', changes=changes
+        )
         assert made.status == 201, made.body
         plan_id = made.json()['plan']['plan_id']
-        done = self.operate(
+        done = self.call_intent_api(
             router,
             'POST',
             f'/intent/plans/{plan_id}/confirm',
@@ -274,7 +276,7 @@
             [model(), service(), workspace('daily', places, **fields)]
         )
 
-    def operate(
+    def call_intent_api(
         self, router: Router, method: str, target: str, **content: object
     ) -> Reply:
         """Call the intent API as the operator."""
