--- a/src/lifttrestle/internal/router/cut.py
+++ b/src/lifttrestle/internal/router/cut.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Why an attempt or a request ended without its whole answer."""
+"""Reasons why an attempt or a request ended before its answer did."""
 
 import asyncio
 import enum
@@ -22,14 +22,14 @@
 from lifttrestle.internal.refusal.execution import Execution
 from lifttrestle.internal.refusal.kind import ErrorKind
 
-# Others have taken over by then, for all that this router knows.
+# By then the load balancer should send requests to other routers.
 RETRY_SECONDS = 1.0
 
 
 class CutCause(enum.Enum):
-    """Who ended an exchange that had neither an end nor a failure.
+    """What ended an exchange that neither completed nor failed.
 
-    The value stands in the log, the name in lower case in the counters.
+    The log contains the value, the counters the name in lower case.
     """
 
     STOP = 'cut by the stop'
@@ -40,10 +40,10 @@
 def find_cut_cause(
     error: CallerGone | CutByStop | asyncio.CancelledError, stopping: bool
 ) -> CutCause:
-    """Return who ended an exchange.
+    """Return what ended an exchange.
 
-    :param stopping: whether the router was told to stop; it cancels what it
-        can't wait for, and a caller that leaves is no cancellation.
+    :param stopping: whether the router is stopping. If so, a cancellation is
+        due to the stop; a caller that disconnects causes no cancellation.
     """
     if isinstance(error, CallerGone):
         return CutCause.CALLER_GONE
@@ -53,7 +53,7 @@
 
 
 def describe_outcome(error: BaseException, stopping: bool) -> str:
-    """Return the outcome of an attempt that an exception ended."""
+    """Return the outcome to log for an attempt that raised an exception."""
     if isinstance(error, (CallerGone, asyncio.CancelledError)):
         return find_cut_cause(error, stopping).value
     if isinstance(error, LifttrestleError):
@@ -62,18 +62,19 @@
 
 
 def build_cut_refusal(ran: Execution) -> RequestRefused:
-    """Return what to tell a caller whose answer had not begun.
+    """Return the refusal for a caller whose answer has not begun.
 
-    A 503 says that nothing ran, so it may be sent again by anyone.
+    A 503 states that the request was not executed, so it may be sent again by
+    anyone.
     """
     if ran is Execution.NOT_RUN:
         return RequestRefused(
             ErrorKind.STOPPING,
-            'this router stops before the request could have ended',
+            'this router is stopping and can not complete the request in time',
             retry_after=RETRY_SECONDS,
         )
     return RequestRefused(
         ErrorKind.DEADLINE_EXCEEDED,
-        'this router stops and can not wait for the answer any longer',
+        'this router is stopping and can no longer wait for the answer',
         ran=ran,
     )
--- a/src/lifttrestle/internal/router/embargo.py
+++ b/src/lifttrestle/internal/router/embargo.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Keeps paths closed until their release time."""
+"""Refuses requests to paths before their release time."""
 
 import datetime
 import posixpath
@@ -21,14 +21,14 @@
 from lifttrestle.internal.configuration.model import Workspace
 from lifttrestle.internal.refusal.kind import ErrorKind
 
-PARAMETER = re.compile(r';[^/]*')
+PATH_PARAMETER = re.compile(r';[^/]*')
 
 
 def normalise_path(path: str) -> str:
-    """Return a path as the service will read it.
+    """Return a path as the service will interpret it.
 
-    Escapes are decoded, parameters behind a semicolon dropped and dots
-    resolved, so that no other spelling of a closed path gets around its rule.
+    Escapes are decoded, parameters after a semicolon removed and dot segments
+    resolved, so that no other spelling of a path bypasses its embargo.
     """
     decoded = path
     while '%' in decoded:
@@ -36,7 +36,7 @@
         if once == decoded:
             break
         decoded = once
-    slashes = PARAMETER.sub('', decoded.replace('\\', '/'))
+    slashes = PATH_PARAMETER.sub('', decoded.replace('\\', '/'))
     normal = posixpath.normpath('/' + slashes.lstrip('/'))
     if slashes.endswith('/') and normal != '/':
         normal += '/'
@@ -50,19 +50,20 @@
     now: datetime.datetime,
     clock_error_seconds: float,
 ) -> None:
-    """Refuse a path that is not released yet.
+    """Refuse a request to a path that is not released yet.
 
-    :param clock_error_seconds: how far this clock may be ahead; the path
-        opens when even a slow clock would say so.
-    :raises RequestRefused: with the time until the release.
+    :param clock_error_seconds: how far the clock may be ahead. The path is
+        opened later by that much, so that it never opens early.
+    :raises RequestRefused: if it is not released; ``retry_after`` is the time
+        until it will be.
     """
     normal = normalise_path(path).lower()
-    sure = now - datetime.timedelta(seconds=clock_error_seconds)
+    earliest_now = now - datetime.timedelta(seconds=clock_error_seconds)
     for embargo in workspace.embargoes:
-        if embargo.service != service or embargo.release <= sure:
+        if embargo.service != service or embargo.release <= earliest_now:
             continue
         if normal.startswith(normalise_path(embargo.path_prefix).lower()):
-            wait = (embargo.release - sure).total_seconds()
+            wait = (embargo.release - earliest_now).total_seconds()
             raise RequestRefused(
                 ErrorKind.EMBARGOED,
                 f'{path!r} is closed until {embargo.release.isoformat()}',
--- a/src/lifttrestle/internal/router/planned_stop.py
+++ b/src/lifttrestle/internal/router/planned_stop.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""What the requests of a router have to know of its stop."""
+"""The state of a planned stop, as far as it concerns requests."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -21,46 +21,48 @@
 
 
 class PlannedStop:
-    """Told by the router's process, obeyed by its requests.
+    """Set by the process of a router, and enforced on its requests.
 
-    :ivar begun: whether the router was told to stop.
-    :ivar cut: how many requests it could not wait for.
+    :ivar begun: whether the stop has begun.
+    :ivar cut_requests: number of requests that the stop has ended.
     """
 
     def __init__(self) -> None:
         self.begun = False
-        self.cut = 0
-        self._cut_at: float | None = None
-        self._bounds: set[asyncio.Timeout] = set()
+        self.cut_requests = 0
+        self._deadline: float | None = None
+        self._timeouts: set[asyncio.Timeout] = set()
 
     def end_requests_in(self, seconds: float) -> None:
-        """Have each request end in time, also those that come yet."""
-        self._cut_at = asyncio.get_running_loop().time() + seconds
-        for bound in self._bounds:
-            if not bound.expired():
-                bound.reschedule(self._cut_at)
+        """End current and future requests ``seconds`` from now."""
+        self._deadline = asyncio.get_running_loop().time() + seconds
+        for timeout in self._timeouts:
+            if not timeout.expired():
+                timeout.reschedule(self._deadline)
 
     def get_remaining_seconds(self) -> float:
-        """Return the seconds that a request has, without end before a stop."""
-        if self._cut_at is None:
+        """Return the seconds until the deadline; infinite if there is none."""
+        if self._deadline is None:
             return math.inf
-        return self._cut_at - asyncio.get_running_loop().time()
+        return self._deadline - asyncio.get_running_loop().time()
 
     @contextlib.asynccontextmanager
     async def enforce_deadline(self) -> AsyncIterator[None]:
-        """Let a request run until the stop can't wait for it.
+        """Cancel the enclosed request if it exceeds the deadline.
 
-        :raises CutByStop: then.
+        The deadline may be set or changed while the request is in progress.
+
+        :raises CutByStop: if the request was cancelled for that reason.
         """
-        bound = asyncio.timeout_at(self._cut_at)
+        timeout = asyncio.timeout_at(self._deadline)
         try:
-            async with bound:
-                self._bounds.add(bound)
+            async with timeout:
+                self._timeouts.add(timeout)
                 yield
         except TimeoutError:
-            if not bound.expired():
+            if not timeout.expired():
                 raise
-            self.cut += 1
-            raise CutByStop('the grace of the stop is over') from None
+            self.cut_requests += 1
+            raise CutByStop('the grace period of the stop is over') from None
         finally:
-            self._bounds.discard(bound)
+            self._timeouts.discard(timeout)
--- a/src/lifttrestle/internal/router/process.py
+++ b/src/lifttrestle/internal/router/process.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""One router process: builds its parts, runs them, stops without a cut."""
+"""A router process: builds its parts, runs them and stops gracefully."""
 
 import asyncio
 import logging
@@ -70,10 +70,10 @@
 
 
 class RouterProcess:
-    """The router: doors for callers and operators, and control tasks.
+    """A router: servers for callers and operators, and control tasks.
 
     :param source: a source of randomness for choices and ids.
-    :param record: where to write a trace of the requests, or None.
+    :param record: file for a trace of the requests, or None for no trace.
     """
 
     def __init__(
@@ -83,18 +83,18 @@
         source: random.Random,
         record: pathlib.Path | None = None,
     ) -> None:
-        self._record = record
+        self._trace_path = record
         self._settings = settings
         self._clock = GuardedClock(clock, settings.control.clock_error_seconds)
         self._source = source
         self._stop = asyncio.Event()
-        self._planned = PlannedStop()
-        self._hurry = asyncio.Event()
+        self._planned_stop = PlannedStop()
+        self._immediate_stop = asyncio.Event()
         self._control: list[asyncio.Task[None]] = []
-        self._failed = False
+        self._control_failed = False
         self._signalled = False
         self._build_control()
-        self._build_doors()
+        self._build_servers()
 
     def _build_control(self) -> None:
         settings = self._settings
@@ -130,10 +130,10 @@
             self._source,
         )
         self._readiness = Readiness(
-            self._keeper, self._exchange, self._clock, self._planned
+            self._keeper, self._exchange, self._clock, self._planned_stop
         )
 
-    def _build_doors(self) -> None:
+    def _build_servers(self) -> None:
         settings = self._settings
         metrics = Metrics(settings.statsd)
         self._parts = RouterParts(
@@ -156,7 +156,7 @@
             decisions=DecisionLog(),
             metrics=metrics,
             background=BackgroundTasks(),
-            stop=self._planned,
+            stop=self._planned_stop,
             needed=RecentDurations(self._clock),
             recorder=self._make_recorder(),
         )
@@ -170,12 +170,12 @@
             load_tokens(settings.operators.tokens_file),
         )
         tls = settings.tls
-        self._callers_door = HttpServer(
+        self._callers_server = HttpServer(
             CallerHandler(self._parts, self._readiness).handle,
             settings.http,
             _load_tls(tls.callers_certificate, tls.callers_key),
         )
-        self._operators_door = HttpServer(
+        self._operators_server = HttpServer(
             operators.handle,
             settings.http,
             _load_tls(tls.operators_certificate, tls.operators_key),
@@ -203,7 +203,7 @@
         )
 
     def _make_recorder(self) -> TraceRecorder | None:
-        if self._record is None:
+        if self._trace_path is None:
             return None
         engines = [
             item
@@ -211,24 +211,26 @@
             if item.kind is UpstreamKind.ENGINE
         ]
         return TraceRecorder(
-            self._record,
+            self._trace_path,
             f'recorded by {self._settings.router.name}',
             len(engines),
             self._clock.monotonic(),
         )
 
     async def run(self) -> bool:
-        """Serve until a signal or a fault, and stop in order.
+        """Serve until a signal or a fault, then stop gracefully.
 
         :return: whether every request was ended and no control task failed.
         """
-        self._watch_signals()
+        self._add_signal_handlers()
         listen = self._settings.listen
         peers = self._exchange.start(parse_address(listen.peers))
         self._keeper.set_peers_address(str(peers))
         self._exchange.set_member(self._keeper.member)
-        callers = await self._callers_door.start(parse_address(listen.callers))
-        operators = await self._operators_door.start(
+        callers = await self._callers_server.start(
+            parse_address(listen.callers)
+        )
+        operators = await self._operators_server.start(
             parse_address(listen.operators)
         )
         self._start_control()
@@ -241,14 +243,14 @@
                 peers,
             )
         await self._stop.wait()
-        whole = await self._shut_down()
-        return whole and not self._failed
+        all_ended = await self._shut_down()
+        return all_ended and not self._control_failed
 
     def _start_control(self) -> None:
         exchange_seconds = self._settings.peers.exchange_seconds
-        work = [
+        coroutines = [
             self._keeper.run(),
-            self._watch_vms(),
+            self._poll_vms(),
             self._exchange.answer_greetings(),
             self._make_loader().run(),
             exchange_forever(
@@ -260,24 +262,24 @@
                 upstream, self._parts.driver, self._settings, self._clock
             )
             if upstream.settings.can.reports_state:
-                work.append(prober.run())
-        self._control = [asyncio.create_task(item) for item in work]
+                coroutines.append(prober.run())
+        self._control = [asyncio.create_task(item) for item in coroutines]
         for task in self._control:
-            task.add_done_callback(self._note_control_end)
+            task.add_done_callback(self._handle_control_end)
 
-    def _note_control_end(self, task: asyncio.Task[None]) -> None:
-        # Without one of its control tasks a router would go stale unseen,
-        # however that task came to its end.
+    def _handle_control_end(self, task: asyncio.Task[None]) -> None:
+        # Without one of its control tasks, a router would serve with stale
+        # data unnoticed. So it stops, whatever has ended the task.
         error = None if task.cancelled() else task.exception()
         LOG.critical('router: a control task failed', exc_info=error)
-        self._failed = True
+        self._control_failed = True
         self._stop.set()
 
     async def _wait_until_ready(self) -> None:
         while not self._readiness.can_serve() and not self._stop.is_set():
             await asyncio.sleep(START_POLL_SECONDS)
 
-    async def _watch_vms(self) -> None:
+    async def _poll_vms(self) -> None:
         while True:
             try:
                 vms = await self._vms.list_vms()
@@ -285,46 +287,52 @@
                 self._parts.registry.apply_vms(vms)
                 self._sponsorship.drop_gone(set(vms))
             except PlatformUnavailable as error:
-                LOG.debug('router: no VM list: %s', error)
+                LOG.debug('router: VM list unavailable: %s', error)
             await asyncio.sleep(self._settings.control.vms_poll_seconds)
 
     async def _shut_down(self) -> bool:
-        LOG.info('router: stopping, %d requests', self._callers_door.busy)
+        LOG.info(
+            'router: stopping, %d requests in progress',
+            self._callers_server.busy,
+        )
         self._exchange.leaving = True
         sequence = StopSequence(
             self._parts,
-            self._callers_door,
-            self._operators_door,
-            self._leave,
-            self._hurry,
+            self._callers_server,
+            self._operators_server,
+            self._deregister,
+            self._immediate_stop,
         )
-        whole = await sequence.run()
+        all_ended = await sequence.run()
         self._exchange.stop()
         self._parts.registry.close()
         if self._parts.recorder is not None:
             self._parts.recorder.close()
-        LOG.info('router: stopped, every request ended: %s', whole)
-        return whole
+        LOG.info('router: stopped, every request ended: %s', all_ended)
+        return all_ended
 
-    async def _leave(self) -> None:
-        """Stop obeying, and leave the list of routers that are counted."""
+    async def _deregister(self) -> None:
+        """Cancel the control tasks and leave the list of routers.
+
+        The routers in the list have to acknowledge changes.
+        """
         for task in self._control:
-            task.remove_done_callback(self._note_control_end)
+            task.remove_done_callback(self._handle_control_end)
             task.cancel()
         await asyncio.gather(*self._control, return_exceptions=True)
         await self._keeper.deregister()
 
-    def _watch_signals(self) -> None:
+    def _add_signal_handlers(self) -> None:
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, self._note_signal)
-        # Left alone, a hang-up would end the process with its requests.
-        loop.add_signal_handler(signal.SIGHUP, _note_hang_up)
+            loop.add_signal_handler(number, self._handle_stop_signal)
+        # By default, SIGHUP would terminate the process and its requests.
+        loop.add_signal_handler(signal.SIGHUP, _handle_hangup)
 
-    def _note_signal(self) -> None:
+    def _handle_stop_signal(self) -> None:
         if self._signalled:
-            LOG.warning('router: second signal, not waiting any longer')
-            self._hurry.set()
+            LOG.warning('router: second stop signal, ending all requests now')
+            self._immediate_stop.set()
         self._signalled = True
         self._stop.set()
 
@@ -338,10 +346,10 @@
         )
 
 
-def _note_hang_up() -> None:
+def _handle_hangup() -> None:
     LOG.warning(
-        'router: hang-up (SIGHUP) ignored: settings are read at the start'
-        ' only; stop with SIGTERM and start anew'
+        'router: SIGHUP ignored: settings are read at startup only; stop with'
+        ' SIGTERM and start again to apply changes'
     )
 
 
--- a/src/lifttrestle/internal/router/readiness.py
+++ b/src/lifttrestle/internal/router/readiness.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Whether this router may serve, and whether it should be sent work."""
+"""Whether a router may serve requests and should be sent new ones."""
 
 from lifttrestle.errors import RequestRefused
 from lifttrestle.internal.clock.clock import Clock
@@ -19,13 +19,13 @@
 from lifttrestle.internal.refusal.kind import ErrorKind
 from lifttrestle.internal.router.planned_stop import PlannedStop
 
-# How long an unregistered router serves after its sponsor's last word.
-SPONSOR_SECONDS = 3.0
+# How long an unregistered router serves after its sponsor's last reply.
+SPONSOR_TIMEOUT_SECONDS = 3.0
 RETRY_SECONDS = 1.0
 
 
 class Readiness:
-    """Watches the configuration's source and a planned stop."""
+    """Checks whether the configuration is current and no stop has begun."""
 
     def __init__(
         self,
@@ -40,26 +40,26 @@
         self._stop = stop
 
     def can_serve(self) -> bool:
-        """Return whether no change can be accepted behind this router.
+        """Return whether no change can be accepted without this router.
 
-        A registered router is counted in each acceptance; one that could not
-        register is covered by its sponsor while it hears from it.
+        Each registered router has to acknowledge a change. One that could not
+        register is covered by its sponsor as long as the sponsor replies.
         """
         if not self._keeper.loaded:
             return False
         if self._keeper.registered:
             return True
-        silent = self._clock.monotonic() - self._exchange.last_sponsored_at
-        return silent <= SPONSOR_SECONDS
+        silence = self._clock.monotonic() - self._exchange.last_sponsored_at
+        return silence <= SPONSOR_TIMEOUT_SECONDS
 
     def is_ready(self) -> bool:
-        """Return whether the balancer should send work here."""
+        """Return whether the load balancer should send requests here."""
         return self.can_serve() and not self._stop.begun
 
     def check(self) -> None:
-        """Refuse a request that may not be served yet.
+        """Refuse a request if the router may not serve.
 
-        :raises RequestRefused: before the configuration is known.
+        :raises RequestRefused: if the configuration in force is not known.
         """
         if not self.can_serve():
             raise RequestRefused(
--- a/src/lifttrestle/internal/router/recent_durations.py
+++ b/src/lifttrestle/internal/router/recent_durations.py
@@ -10,38 +10,40 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""How long requests of each kind took lately."""
+"""The longest recent duration of requests to each target."""
 
 from lifttrestle.internal.clock.clock import Clock
 
-# A time is remembered for one to two spans. The streams that we know last up
-# to 15 s, so a kind that is in use shows its long ones in one span many times.
-SPAN_SECONDS = 300.0
+# A duration is kept for one to two windows. Known streams last up to 15 s, so
+# one window contains many of the long requests to a target in use.
+WINDOW_SECONDS = 300.0
 
 
 class RecentDurations:
-    """Remembers the longest time of each target over the last spans."""
+    """Tracks the longest duration per target in this and the last window."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._span = 0
-        self._before: dict[str, float] = {}
-        self._now: dict[str, float] = {}
+        self._window = 0
+        self._previous: dict[str, float] = {}
+        self._current: dict[str, float] = {}
 
     def record(self, target: str, seconds: float) -> None:
-        """Remember a request that was served to its end."""
-        self._turn()
-        self._now[target] = max(self._now.get(target, 0.0), seconds)
+        """Record the duration of a completed request."""
+        self._rotate()
+        self._current[target] = max(self._current.get(target, 0.0), seconds)
 
     def get_longest(self, target: str) -> float:
-        """Return the longest time in seconds, 0 where none is known."""
-        self._turn()
-        return max(self._now.get(target, 0.0), self._before.get(target, 0.0))
-
-    def _turn(self) -> None:
-        span = int(self._clock.monotonic() // SPAN_SECONDS)
-        if span == self._span:
+        """Return the longest duration in seconds, 0 if none is known."""
+        self._rotate()
+        return max(
+            self._current.get(target, 0.0), self._previous.get(target, 0.0)
+        )
+
+    def _rotate(self) -> None:
+        window = int(self._clock.monotonic() // WINDOW_SECONDS)
+        if window == self._window:
             return
-        self._before = self._now if span == self._span + 1 else {}
-        self._now = {}
-        self._span = span
+        self._previous = self._current if window == self._window + 1 else {}
+        self._current = {}
+        self._window = window
--- a/src/lifttrestle/internal/router/stop_sequence.py
+++ b/src/lifttrestle/internal/router/stop_sequence.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""The steps of a planned stop, each by its time."""
+"""The steps of a planned stop, each with its deadline."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -20,17 +20,20 @@
 
 from lifttrestle.internal.http.server import HttpServer
 from lifttrestle.internal.router.parts import RouterParts
-from lifttrestle.internal.router.stop_times import hurry_stop
 from lifttrestle.internal.router.stop_times import plan_stop
+from lifttrestle.internal.router.stop_times import shorten_stop
 
 LOG = logging.getLogger('lifttrestle.router')
 
 
 class StopSequence:
-    """Takes the steps in the order that cuts no request.
+    """Stops a router, in an order that cuts no request.
 
-    :param leave: stops obeying, and leaves the list of routers.
-    :param hurry: set once no request is to be waited for any longer.
+    :param callers: the server for callers.
+    :param operators: the server for operators.
+    :param deregister: cancels the control tasks and leaves the list of
+        routers.
+    :param immediate: set when the stop must not wait for requests any longer.
     """
 
     def __init__(
@@ -38,14 +41,14 @@
         parts: RouterParts,
         callers: HttpServer,
         operators: HttpServer,
-        leave: Callable[[], Awaitable[None]],
-        hurry: asyncio.Event,
+        deregister: Callable[[], Awaitable[None]],
+        immediate: asyncio.Event,
     ) -> None:
         self._parts = parts
         self._callers = callers
         self._operators = operators
-        self._leave = leave
-        self._hurry = hurry
+        self._deregister = deregister
+        self._immediate = immediate
         stop = parts.settings.stop
         self._times = plan_stop(
             parts.clock.monotonic(),
@@ -55,65 +58,69 @@
         )
 
     async def run(self) -> bool:
-        """Return whether every request was ended."""
+        """Stop, and return whether every request was ended."""
         self._parts.stop.begun = True
-        self._parts.stop.end_requests_in(self._count_left(self._times.cut_at))
+        self._parts.stop.end_requests_in(
+            self._get_remaining_seconds(self._times.cut_at)
+        )
         self._callers.announce_stop()
         await self._give_notice()
-        whole = await self._close_callers()
+        all_ended = await self._close_callers()
         until = self._times.recorded_at
         await asyncio.gather(
-            self._operators.stop(self._count_left(until)),
+            self._operators.stop(self._get_remaining_seconds(until)),
             self._write_records(until),
         )
-        await self._leave_in_time()
-        return whole
+        await self._deregister_in_time()
+        return all_ended
 
-    def _count_left(self, until: float) -> float:
+    def _get_remaining_seconds(self, until: float) -> float:
         return max(until - self._parts.clock.monotonic(), 0.0)
 
     async def _give_notice(self) -> None:
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(
-                self._count_left(self._times.closes_at)
+                self._get_remaining_seconds(self._times.notice_ends_at)
             ):
-                await self._hurry.wait()
+                await self._immediate.wait()
 
     async def _close_callers(self) -> bool:
-        left = self._count_left(self._times.closed_at)
-        closing = asyncio.create_task(self._callers.stop(left))
-        hurry = asyncio.create_task(self._hurry.wait())
+        remaining = self._get_remaining_seconds(self._times.closed_at)
+        closing = asyncio.create_task(self._callers.stop(remaining))
+        immediate = asyncio.create_task(self._immediate.wait())
         await asyncio.wait(
-            {closing, hurry},
-            timeout=left,
+            {closing, immediate},
+            timeout=remaining,
             return_when=asyncio.FIRST_COMPLETED,
         )
-        hurry.cancel()
-        if self._hurry.is_set():
+        immediate.cancel()
+        if self._immediate.is_set():
             await self._end_requests(closing)
         if closing.done():
-            return closing.result() and not self._parts.stop.cut
+            return closing.result() and not self._parts.stop.cut_requests
         closing.cancel()
         await self._callers.stop(0)
         return False
 
     async def _end_requests(self, closing: asyncio.Task[bool]) -> None:
-        """End all requests, and give their last answers time to leave."""
+        """End all requests, and wait until their answers are sent."""
         now = self._parts.clock.monotonic()
-        self._times = hurry_stop(self._times, now)
+        self._times = shorten_stop(self._times, now)
         self._parts.stop.end_requests_in(0.0)
-        left = self._count_left(self._times.closed_at)
-        await asyncio.wait({closing}, timeout=left)
+        remaining = self._get_remaining_seconds(self._times.closed_at)
+        await asyncio.wait({closing}, timeout=remaining)
 
     async def _write_records(self, until: float) -> None:
-        await self._parts.background.flush(self._count_left(until))
-        # What ran in the background has left records to be written.
-        await self._parts.ledger.flush(self._count_left(until))
+        await self._parts.background.flush(self._get_remaining_seconds(until))
+        # The background tasks may have added records to write.
+        await self._parts.ledger.flush(self._get_remaining_seconds(until))
 
-    async def _leave_in_time(self) -> None:
+    async def _deregister_in_time(self) -> None:
         try:
-            async with asyncio.timeout(self._count_left(self._times.ends_at)):
-                await self._leave()
+            async with asyncio.timeout(
+                self._get_remaining_seconds(self._times.ends_at)
+            ):
+                await self._deregister()
         except Exception:
-            # Whatever it was, what is left of the stop is still to be done.
-            LOG.exception('router: not taken off the list')
+            # No error may prevent the remaining steps of the stop.
+            LOG.exception('router: failed to leave the list of routers')
--- a/src/lifttrestle/internal/router/stop_times.py
+++ b/src/lifttrestle/internal/router/stop_times.py
@@ -10,38 +10,41 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""By when each step of a planned stop ends.
+"""The deadlines of the steps of a planned stop.
 
-All times are of the monotonic clock, in seconds.
+All times are readings of the monotonic clock, in seconds.
 """
 
 import dataclasses
 
-# The end of an answer may wait that long in a buffer, as a connection that is
-# being closed does.
-LAST_BYTES_SECONDS = 1.0
-# A record is one call of the table service, or after a failure one more to
-# read what became of it.
+# Time to send the ends of buffered answers and to close the connections.
+FLUSH_SECONDS = 1.0
+# A record takes one call to the table service, and after a failure a second
+# one to read whether the first took effect.
 RECORD_CALLS = 2
-# The list of routers is read and written.
-LEAVE_CALLS = 2
-# What is kept of a short grace for the steps behind the requests; the rest is
-# the requests' own.
-END_SHARE = 0.25
+# Leaving the list of routers takes one read and one write.
+DEREGISTER_CALLS = 2
+# The steps after the requests get at most this share of the grace period, so
+# that most of a short one is left for the requests.
+MAX_RESERVED_SHARE = 0.25
 
 
 @dataclasses.dataclass(frozen=True)
 class StopTimes:
-    """The ends of the steps, in their order.
+    """The deadlines of the steps, in the order of the steps.
 
-    :ivar closes_at: the balancer had its notice, the listener closes.
-    :ivar cut_at: requests that have not ended are ended.
-    :ivar closed_at: the last answers have left, the connections are closed.
-    :ivar recorded_at: operators' calls have ended, records are written.
-    :ivar ends_at: the router has left the list; the end of the whole stop.
+    :ivar notice_ends_at: when the listener closes, since the load balancer
+        has been notified.
+    :ivar cut_at: when requests in progress are ended.
+    :ivar closed_at: when the last answers are sent and the connections are
+        closed.
+    :ivar recorded_at: when calls of operators have ended and records are
+        written.
+    :ivar ends_at: when the router has left the list of routers, which ends
+        the stop.
     """
 
-    closes_at: float
+    notice_ends_at: float
     cut_at: float
     closed_at: float
     recorded_at: float
@@ -51,33 +54,36 @@
 def plan_stop(
     now: float, notice: float, grace: float, call_seconds: float
 ) -> StopTimes:
-    """Return when the steps of a stop that begins now end.
+    """Return the deadlines of a stop that begins now.
 
-    :param notice: for the balancer, before the grace.
-    :param grace: for all that follows.
-    :param call_seconds: the longest call of the table service.
+    :param notice: seconds for the load balancer, before the grace period.
+    :param grace: seconds for all following steps.
+    :param call_seconds: timeout of a call to the table service.
     """
     ends_at = now + notice + grace
-    leave = LEAVE_CALLS * call_seconds
+    deregister = DEREGISTER_CALLS * call_seconds
     record = RECORD_CALLS * call_seconds
-    wanted = LAST_BYTES_SECONDS + record + leave
-    scale = min(1.0, END_SHARE * grace / wanted)
+    reserved = FLUSH_SECONDS + record + deregister
+    scale = min(1.0, MAX_RESERVED_SHARE * grace / reserved)
     return StopTimes(
-        closes_at=now + notice,
-        cut_at=ends_at - wanted * scale,
-        closed_at=ends_at - (record + leave) * scale,
-        recorded_at=ends_at - leave * scale,
+        notice_ends_at=now + notice,
+        cut_at=ends_at - reserved * scale,
+        closed_at=ends_at - (record + deregister) * scale,
+        recorded_at=ends_at - deregister * scale,
         ends_at=ends_at,
     )
 
 
-def hurry_stop(times: StopTimes, now: float) -> StopTimes:
-    """Return the times of a stop that waits for no request any longer."""
-    early = max(times.cut_at - now, 0.0)
+def shorten_stop(times: StopTimes, now: float) -> StopTimes:
+    """Return the deadlines of a stop that ends all requests now.
+
+    The following steps keep their durations.
+    """
+    saved = max(times.cut_at - now, 0.0)
     return StopTimes(
-        closes_at=min(times.closes_at, now),
-        cut_at=times.cut_at - early,
-        closed_at=times.closed_at - early,
-        recorded_at=times.recorded_at - early,
-        ends_at=times.ends_at - early,
+        notice_ends_at=min(times.notice_ends_at, now),
+        cut_at=times.cut_at - saved,
+        closed_at=times.closed_at - saved,
+        recorded_at=times.recorded_at - saved,
+        ends_at=times.ends_at - saved,
     )
--- a/tests/cover/test_cut.py
+++ b/tests/cover/test_cut.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Tests of the names of ends without a whole answer."""
+"""Tests of the reasons and refusals of requests that were cut."""
 
 import asyncio
 import unittest
@@ -30,7 +30,7 @@
 
 
 class TestCut(unittest.TestCase):
-    def test_each_cause_has_its_own_name(self) -> None:
+    def test_each_cause_has_its_own_outcome(self) -> None:
         gone = CallerGone('the caller stopped reading')
         cancelled = asyncio.CancelledError()
         for error, stopping, expected in (
@@ -42,10 +42,10 @@
             with self.subTest(error=error, stopping=stopping):
                 cause = find_cut_cause(error, stopping)
                 self.assertIs(cause, expected)
-                name = describe_outcome(error, stopping)
-                self.assertEqual(name, expected.value)
+                outcome = describe_outcome(error, stopping)
+                self.assertEqual(outcome, expected.value)
 
-    def test_failure_and_fault_stay_what_they_are(self) -> None:
+    def test_failures_and_faults_are_logged_as_they_are(self) -> None:
         lost = UpstreamLost('it broke off')
         self.assertEqual(describe_outcome(lost, True), 'it broke off')
         fault = describe_outcome(KeyError('x'), True)
@@ -53,7 +53,7 @@
 
 
 class TestCutRefusal(unittest.TestCase):
-    def test_only_what_did_not_run_may_be_sent_again(self) -> None:
+    def test_only_requests_that_did_not_run_may_be_sent_again(self) -> None:
         for ran in Execution:
             refused = build_cut_refusal(ran)
             answer = build_refusal(refused, 'id')
@@ -64,7 +64,7 @@
                 self.assertIs(refused.ran, ran)
                 self.assertEqual('retry-after' in headers, not_run)
 
-    def test_work_that_goes_on_alone_is_never_not_run(self) -> None:
+    def test_detached_request_is_never_reported_as_not_run(self) -> None:
         progress = RequestProgress()
         progress.apply(RequestEvent.ADMIT)
         self.assertIs(progress.execution, Execution.NOT_RUN)
@@ -73,13 +73,13 @@
 
 
 class TestPlannedStop(unittest.IsolatedAsyncioTestCase):
-    async def wait_for_ever(self, stop: PlannedStop) -> None:
+    async def wait_forever(self, stop: PlannedStop) -> None:
         async with stop.enforce_deadline():
             await asyncio.Event().wait()
 
-    async def test_requests_before_and_after_the_order_are_ended(self) -> None:
+    async def test_current_and_later_requests_are_ended(self) -> None:
         stop = PlannedStop()
-        running = asyncio.create_task(self.wait_for_ever(stop))
+        running = asyncio.create_task(self.wait_forever(stop))
         await asyncio.sleep(0)
         stop.end_requests_in(600.0)
         await asyncio.sleep(0)
@@ -88,20 +88,20 @@
         with self.assertRaises(CutByStop):
             await running
         with self.assertRaises(CutByStop):
-            await self.wait_for_ever(stop)
-        self.assertEqual(stop.cut, 2)
+            await self.wait_forever(stop)
+        self.assertEqual(stop.cut_requests, 2)
 
-    async def test_other_ends_stay_what_they_are(self) -> None:
+    async def test_other_exceptions_are_passed_on(self) -> None:
         stop = PlannedStop()
         with self.assertRaises(TimeoutError):
             async with stop.enforce_deadline():
                 raise TimeoutError
-        running = asyncio.create_task(self.wait_for_ever(stop))
+        running = asyncio.create_task(self.wait_forever(stop))
         await asyncio.sleep(0)
         running.cancel()
         with self.assertRaises(asyncio.CancelledError):
             await running
-        self.assertEqual(stop.cut, 0)
+        self.assertEqual(stop.cut_requests, 0)
 
 
 if __name__ == '__main__':
--- a/tests/cover/test_embargo.py
+++ b/tests/cover/test_embargo.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""No answer sheet before its time, also with the clock stepped."""
+"""Tests that no path opens before its release, even if the clock jumps."""
 
 import datetime
 import unittest
@@ -50,10 +50,10 @@
             return False
         return True
 
-    def test_opens_at_its_time_and_not_before(self) -> None:
+    def test_opens_at_its_release_and_not_before(self) -> None:
         self.machine.advance(HOUR - 1)
         self.assertFalse(self.is_open())
-        # Even a clock that is ahead by the bound opens nothing early.
+        # The clock may be ahead by the error, so the path stays closed.
         self.machine.advance(1)
         self.assertFalse(self.is_open())
         self.machine.advance(1)
@@ -83,14 +83,14 @@
     def test_other_paths_are_open(self) -> None:
         self.assertTrue(self.is_open('/grids/7'))
 
-    def test_refusal_says_when_to_come_back(self) -> None:
+    def test_refusal_says_when_to_retry(self) -> None:
         with self.assertRaises(RequestRefused) as caught:
             check_embargo(
                 self.workspace, 'grid-app', '/answers/7', START, ERROR_SECONDS
             )
         self.assertEqual(caught.exception.retry_after, HOUR + ERROR_SECONDS)
 
-    def test_spellings_of_one_path(self) -> None:
+    def test_spellings_of_a_path_are_normalised(self) -> None:
         for path in ('/a/../answers/7', '/%61nswers/7', '//answers;x/7'):
             self.assertEqual(normalise_path(path), '/answers/7')
 
--- a/tests/cover/test_stop_times.py
+++ b/tests/cover/test_stop_times.py
@@ -10,14 +10,14 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Tests of the times of a planned stop."""
+"""Tests of the deadlines of the steps of a planned stop."""
 
 import dataclasses
 import unittest
 
-from lifttrestle.internal.router.stop_times import hurry_stop
-from lifttrestle.internal.router.stop_times import LAST_BYTES_SECONDS
+from lifttrestle.internal.router.stop_times import FLUSH_SECONDS
 from lifttrestle.internal.router.stop_times import plan_stop
+from lifttrestle.internal.router.stop_times import shorten_stop
 
 NOW = 100.0
 
@@ -30,35 +30,35 @@
                     times = plan_stop(NOW, notice, grace, 2.0)
                     steps = dataclasses.astuple(times)
                     self.assertEqual(list(steps), sorted(steps))
-                    self.assertEqual(times.closes_at, NOW + notice)
+                    self.assertEqual(times.notice_ends_at, NOW + notice)
                     self.assertEqual(times.ends_at, NOW + notice + grace)
 
-    def test_long_grace_keeps_the_time_of_the_calls(self) -> None:
+    def test_long_grace_reserves_the_full_time_of_the_calls(self) -> None:
         times = plan_stop(NOW, 5.0, 600.0, 2.0)
         self.assertEqual(times.recorded_at, times.ends_at - 4.0)
         self.assertEqual(times.closed_at, times.ends_at - 8.0)
-        early = times.closed_at - LAST_BYTES_SECONDS
+        early = times.closed_at - FLUSH_SECONDS
         self.assertEqual(times.cut_at, early)
 
-    def test_short_grace_is_the_requests_but_for_a_share(self) -> None:
+    def test_short_grace_reserves_a_fixed_share(self) -> None:
         times = plan_stop(NOW, 0.0, 8.0, 2.0)
         self.assertEqual(times.cut_at, NOW + 6.0)
         self.assertAlmostEqual(times.recorded_at, NOW + 8.0 - 8.0 / 9.0)
 
 
-class TestHurryStop(unittest.TestCase):
-    def test_requests_are_not_waited_for_and_the_end_is_kept(self) -> None:
+class TestShortenStop(unittest.TestCase):
+    def test_requests_end_now_and_the_following_steps_are_kept(self) -> None:
         times = plan_stop(NOW, 5.0, 600.0, 2.0)
-        hurried = hurry_stop(times, NOW + 1.0)
-        self.assertEqual(hurried.closes_at, NOW + 1.0)
-        self.assertEqual(hurried.cut_at, NOW + 1.0)
-        closed_at = NOW + 1.0 + LAST_BYTES_SECONDS
-        self.assertEqual(hurried.closed_at, closed_at)
-        self.assertEqual(hurried.ends_at, closed_at + 8.0)
+        shortened = shorten_stop(times, NOW + 1.0)
+        self.assertEqual(shortened.notice_ends_at, NOW + 1.0)
+        self.assertEqual(shortened.cut_at, NOW + 1.0)
+        closed_at = NOW + 1.0 + FLUSH_SECONDS
+        self.assertEqual(shortened.closed_at, closed_at)
+        self.assertEqual(shortened.ends_at, closed_at + 8.0)
 
-    def test_a_late_second_signal_makes_nothing_later(self) -> None:
+    def test_late_second_signal_delays_no_step(self) -> None:
         times = plan_stop(NOW, 5.0, 20.0, 2.0)
-        self.assertEqual(hurry_stop(times, times.ends_at), times)
+        self.assertEqual(shorten_stop(times, times.ends_at), times)
 
 
 if __name__ == '__main__':
--- a/tests/nocover/test_cut_requests.py
+++ b/tests/nocover/test_cut_requests.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""The log and the counters tell truthfully why a request was cut."""
+"""Tests that the log and the counters say why a request was cut."""
 
 import http.client
 import json
@@ -28,7 +28,7 @@
 
 
 class CutTestCase(unittest.TestCase):
-    """A router whose requests last long, and its counters."""
+    """Runs a router with slow requests and receives its counters."""
 
     def setUp(self) -> None:
         self.counters = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -46,7 +46,7 @@
         self.router = self.deployment.router
 
     def open(self, target: str, body: dict) -> http.client.HTTPConnection:
-        """Send a request and return its connection, unread."""
+        """Send a request; return its connection without reading the answer."""
         connection = http.client.HTTPConnection(
             self.router.callers, timeout=30
         )
@@ -56,7 +56,7 @@
         return connection
 
     def open_stream(self) -> http.client.HTTPConnection:
-        """Return the connection of a stream that has begun."""
+        """Return the connection of a stream whose first line was read."""
         body = {
             'model': MODEL,
             'messages': [{'role': 'user', 'content': 'a long one'}],
@@ -78,7 +78,7 @@
         return [line for line in lines if prefix in line]
 
     def read_counters(self) -> list[str]:
-        """Return what was counted since the last call."""
+        """Return the counter updates received since the last call."""
         found = []
         while True:
             try:
@@ -87,7 +87,7 @@
                 return found
             found += data.decode().split('\n')
 
-    def end_at_once(self) -> None:
+    def stop_at_once(self) -> None:
         """Stop the router without waiting for its requests."""
         self.router.process.send_signal(signal.SIGTERM)
         wait_until(lambda: self.list_lines('router: stopping'))
@@ -95,10 +95,10 @@
         self.assertEqual(self.router.process.wait(), 1)
 
 
-class TestToldAsCut(CutTestCase):
+class TestCutCause(CutTestCase):
     def test_stream_cut_by_a_stop(self) -> None:
         self.open_stream()
-        self.end_at_once()
+        self.stop_at_once()
         (decision,) = self.list_lines('routing:')
         self.assertIn('outcome="cut by the stop"', decision)
         (cut,) = self.list_lines('router: cut')
@@ -110,12 +110,12 @@
         self.deployment.set_faults(name, delay_seconds=20.0)
         self.open(f'/{SERVICE}/slow', {})
         wait_until(lambda: self.count_in_flight() == 1)
-        self.end_at_once()
+        self.stop_at_once()
         (decision,) = self.list_lines('routing:')
         self.assertIn('outcome="cut by the stop"', decision)
         self.assertIn('lifttrestle.cut.stop:1|c', self.read_counters())
 
-    def test_caller_that_leaves(self) -> None:
+    def test_caller_that_disconnects(self) -> None:
         self.open_stream().close()
         wait_until(lambda: self.list_lines('router: cut'))
         (decision,) = self.list_lines('routing:')
@@ -124,7 +124,7 @@
         self.assertIn('cause="caller gone"', cut)
         self.assertIn('lifttrestle.cut.caller_gone:1|c', self.read_counters())
 
-    def test_stream_that_broke_is_no_refusal(self) -> None:
+    def test_broken_stream_is_not_a_refusal(self) -> None:
         (engine,) = self.deployment.list_engines()
         self.deployment.set_faults(engine, cut_at_token=3, cut_streams=1000)
         self.open_stream()
--- a/tests/nocover/test_duplicate_submissions.py
+++ b/tests/nocover/test_duplicate_submissions.py
@@ -10,11 +10,11 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Contest Sunday: every keyed submission sent twice, the table failing.
+"""Tests that keyed submissions sent twice are executed at most once.
 
-Each of 5,000 submissions goes through two routers drawn at random, while the
-table service refuses one call in ten. Every key runs at most once, and every
-"not run" is true.
+Each of 5,000 submissions is sent twice, to routers chosen at random, while the
+table service refuses one call in ten. Each key must be executed at most once,
+and must not have been executed if both answers say "not run".
 """
 
 import asyncio
@@ -37,25 +37,27 @@
 TIMEOUT_SECONDS = 60.0
 
 
-class TestContestSunday(unittest.TestCase):
+class TestDuplicateSubmissions(unittest.TestCase):
     def test_each_submission_runs_at_most_once(self) -> None:
         deployment = Deployment(engines=0, services=2, routers=2)
         self.enterContext(deployment)
         deployment.configure_usual(requests_per_second=1e6)
         deployment.set_faults('table', refuse_one_in=10)
         addresses = [item.callers for item in deployment.routers.values()]
-        told = asyncio.run(self.submit_all(addresses))
+        outcomes = asyncio.run(self.submit_all(addresses))
         deployment.set_faults('table')
         runs = deployment.count_runs()
-        self.check(told, runs)
+        self.check(outcomes, runs)
 
-    def check(self, told: dict[str, list[str]], runs: dict[str, int]) -> None:
+    def check(
+        self, outcomes: dict[str, list[str]], runs: dict[str, int]
+    ) -> None:
         totals = collections.Counter(
-            statement for pair in told.values() for statement in pair
+            outcome for pair in outcomes.values() for outcome in pair
         )
-        ran_once = sum(1 for key in told if runs.get(key))
-        print(f'contest: {totals}, {ran_once} of {len(told)} ran')
-        for key, pair in told.items():
+        ran_once = sum(1 for key in outcomes if runs.get(key))
+        print(f'submissions: {totals}, {ran_once} of {len(outcomes)} ran')
+        for key, pair in outcomes.items():
             count = runs.get(key, 0)
             self.assertLessEqual(count, 1, key)
             if set(pair) == {'not run'}:
@@ -63,8 +65,8 @@
             if 'answered' in pair:
                 self.assertEqual(count, 1, key)
                 self.assertEqual(pair.count('answered'), 1, key)
-        # The table fails one call in ten; a claim whose write fails is
-        # read back and tried again, so nearly all are answered.
+        # The table fails one call in ten. A claim whose write fails is read
+        # back and written again, so nearly all submissions are answered.
         self.assertGreater(totals['answered'], SUBMISSIONS * 0.85)
 
     async def submit_all(self, addresses: list[str]) -> dict[str, list[str]]:
@@ -79,20 +81,20 @@
             for _ in range(2)
         ]
         source.shuffle(work)
-        told: dict[str, list[str]] = collections.defaultdict(list)
-        gate = asyncio.Semaphore(CONCURRENT)
+        outcomes: dict[str, list[str]] = collections.defaultdict(list)
+        semaphore = asyncio.Semaphore(CONCURRENT)
 
         async def submit(key: str, client: JsonClient) -> None:
-            async with gate:
-                told[key].append(await self.submit(key, client))
+            async with semaphore:
+                outcomes[key].append(await self.send_submission(key, client))
 
         await asyncio.gather(*(submit(*item) for item in work))
         for client in clients:
             client.close()
-        return told
+        return outcomes
 
-    async def submit(self, key: str, client: JsonClient) -> str:
-        """Return what the router said of the submission."""
+    async def send_submission(self, key: str, client: JsonClient) -> str:
+        """Return ``answered``, or the execution that the refusal reports."""
         headers = (
             ('authorization', 'Bearer daily-token'),
             ('idempotency-key', key),
@@ -102,7 +104,7 @@
                 'POST', f'/{SERVICE}/submissions', b'grid', headers
             )
         except PlatformUnavailable as error:
-            self.fail(f'the router gave no answer: {error}')
+            self.fail(f'the router did not answer: {error}')
         if answer.status == 200:
             return 'answered'
         return msgspec.json.decode(answer.body)['error']['ran']
--- a/tests/nocover/test_stop.py
+++ b/tests/nocover/test_stop.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""A planned stop cuts no request, and a slow reader costs little."""
+"""Tests of the planned stop, slow readers and kept connections."""
 
 import concurrent.futures
 import json
@@ -69,14 +69,14 @@
         upstreams = self.router.status()['upstreams']
         return sum(item['in_flight'] for item in upstreams)
 
-    def test_live_streams_run_to_their_end(self) -> None:
+    def test_active_streams_are_completed(self) -> None:
         with concurrent.futures.ThreadPoolExecutor(STREAMS) as pool:
             running = [
                 pool.submit(self.stream, item) for item in range(STREAMS)
             ]
             wait_until(lambda: self.count_in_flight() == STREAMS)
             self.router.process.send_signal(signal.SIGTERM)
-            # The listener stays open while the balancer catches up.
+            # The listener stays open until the load balancer has noticed.
             wait_until(self.is_unready)
             late = request(
                 self.router.callers, 'GET', f'/{SERVICE}/late', TOKEN
@@ -90,7 +90,7 @@
     def is_unready(self) -> bool:
         return request(self.router.callers, 'GET', '/ready').status == 503
 
-    def test_stopped_router_leaves_the_list(self) -> None:
+    def test_stopped_router_leaves_the_list_of_routers(self) -> None:
         self.assertEqual(self.router.process.stop(), 0)
         reply = request(
             self.deployment.addresses['table'],
@@ -100,7 +100,7 @@
         )
         self.assertEqual(reply.json()['rows'][0]['value']['routers'], [])
 
-    def test_second_signal_ends_the_wait(self) -> None:
+    def test_second_signal_ends_requests(self) -> None:
         with concurrent.futures.ThreadPoolExecutor(1) as pool:
             running = pool.submit(self.stream, 1)
             wait_until(lambda: self.count_in_flight() == 1)
@@ -110,7 +110,7 @@
             self.assertEqual(self.router.process.wait(), 1)
             self.assertIsNotNone(running.exception())
 
-    def test_idle_connections_do_not_hold_a_stop_up(self) -> None:
+    def test_idle_connections_do_not_delay_a_stop(self) -> None:
         host, _, port = self.router.callers.rpartition(':')
         with socket.create_connection((host, int(port))):
             self.assertEqual(self.router.process.stop(), 0)
@@ -124,7 +124,7 @@
         self.enterContext(deployment)
         deployment.configure_usual()
         router = deployment.router
-        # One stream read at once first, so that only what grows is measured.
+        # A stream that is read without delay, to measure only the growth.
         warm = {
             'model': MODEL,
             'prompt': 'warm',
@@ -154,12 +154,13 @@
                 b'Content-Length: %d\r\n\r\n' % len(body) + body
             )
             sockets.append(raw)
-        wait_until(lambda: self.is_made(deployment), 60.0)
+        wait_until(lambda: self.is_generated(deployment), 60.0)
         grown = read_rss_kib(router.process.pid) - before
-        # Each answer is over 20 MB; unbounded, it grew by 29 MiB.
+        # Each answer is over 20 MB; with unbounded buffers, memory grew by
+        # 29 MiB.
         self.assertLess(grown, 8 * 1024)
 
-    def is_made(self, deployment: Deployment) -> bool:
+    def is_generated(self, deployment: Deployment) -> bool:
         reply = request(
             deployment.addresses['engine-bkk-silom-1'],
             'GET',
@@ -171,7 +172,7 @@
 
 
 class TestKeptConnections(unittest.TestCase):
-    def test_requests_in_a_row_on_one_connection(self) -> None:
+    def test_pipelined_requests_on_one_connection(self) -> None:
         deployment = Deployment(engines=0)
         self.enterContext(deployment)
         deployment.configure_usual()
--- a/tests/nocover/test_stop_deadline.py
+++ b/tests/nocover/test_stop_deadline.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""A stop ends by its one deadline, whatever holds its steps up."""
+"""Tests that a stop meets its deadline even if its steps are blocked."""
 
 import concurrent.futures
 import signal
@@ -28,9 +28,9 @@
 from tests.support.raw import read_status
 
 TOKEN = 'daily-token'
-# Of the stop below, in seconds; a step that took its own time would need more
-# than the bound.
 STOP = 'stop = { notice_seconds = 0.2, grace_seconds = 4 }'
+# Upper limit of this stop. With a timeout for each step instead of a common
+# deadline, it would take longer.
 BOUND_SECONDS = 9.0
 
 
@@ -41,8 +41,8 @@
         self.deployment.configure_usual()
         self.router = self.deployment.router
 
-    def hold_operators_call(self) -> None:
-        """Begin a call at the operators' door that does not end."""
+    def block_operator_call(self) -> None:
+        """Start a call to the operators' listener that does not end."""
         host, _, port = self.router.operators.rpartition(':')
         raw = socket.create_connection((host, int(port)))
         self.addCleanup(raw.close)
@@ -52,8 +52,8 @@
             b'Content-Length: 100\r\n\r\n'
         )
 
-    def hold_record(self) -> None:
-        """Have a keyed request run whose record can't be written."""
+    def block_record(self) -> None:
+        """Execute a keyed request whose record can't be written."""
         service = f'{SERVICE}-bkk-silom-1'
         self.deployment.set_faults(service, delay_seconds=1.0)
         with concurrent.futures.ThreadPoolExecutor(1) as pool:
@@ -71,9 +71,9 @@
             table.send_signal(signal.SIGSTOP)
             self.assertEqual(running.result().status, 200)
 
-    def test_last_steps_share_what_is_left(self) -> None:
-        self.hold_operators_call()
-        self.hold_record()
+    def test_last_steps_share_the_remaining_time(self) -> None:
+        self.block_operator_call()
+        self.block_record()
         process = self.router.process
         process.send_signal(signal.SIGTERM)
         wait_until(lambda: process.process.poll() is not None, BOUND_SECONDS)
@@ -81,7 +81,7 @@
 
 
 class TestUnanswered(unittest.TestCase):
-    """Requests whose answer has not begun when the grace ends."""
+    """Requests without an answer at the end of the grace period."""
 
     def setUp(self) -> None:
         self.deployment = Deployment(
@@ -108,8 +108,8 @@
     def wait_sent(self, path: str) -> None:
         wait_until(lambda: self.deployment.count_arrivals(self.service, path))
 
-    def begin_to_wait(self) -> socket.socket:
-        """Return the connection of a request that was read, not begun."""
+    def start_waiting_request(self) -> socket.socket:
+        """Send a request that is read but not admitted; return its socket."""
         host, _, port = self.router.callers.rpartition(':')
         raw = socket.create_connection((host, int(port)), 10.0)
         self.addCleanup(raw.close)
@@ -127,12 +127,12 @@
         self.assertEqual(reply.error['ran'], ran)
         self.assertEqual(reply.headers['connection'], 'close')
 
-    def test_each_gets_an_answer_that_says_whether_it_ran(self) -> None:
+    def test_each_answer_says_whether_the_request_ran(self) -> None:
         sent = self.send('/sent')
         self.wait_sent('/sent')
         keyed = self.send('/keyed', **{'Idempotency-Key': 'once'})
         self.wait_sent('/keyed')
-        waiting = self.begin_to_wait()
+        waiting = self.start_waiting_request()
         process = self.router.process
         process.send_signal(signal.SIGTERM)
         self.check_refusal(sent.result(), 504, 'unknown')
@@ -141,7 +141,7 @@
         self.assertEqual(read_status(answer), 503)
         self.assertEqual(read_error(answer)['ran'], 'not run')
         self.assertIn(b'retry-after: ', answer)
-        # They were ended by the stop, which is not a whole one.
+        # The stop has ended requests, so the exit code is 1.
         self.assertEqual(process.wait(), 1)
         cuts = [line for line in process.lines if 'router: cut' in line]
         self.assertEqual(len(cuts), 3)
@@ -149,8 +149,8 @@
             self.assertIn('cause="cut by the stop"', line)
 
 
-class TestTakenLate(unittest.TestCase):
-    """Requests that come after the signal, while the listener is open."""
+class TestLateRequests(unittest.TestCase):
+    """Requests that arrive after the signal, while the listener is open."""
 
     def setUp(self) -> None:
         self.deployment = Deployment(
@@ -163,7 +163,7 @@
         self.router = self.deployment.router
 
     def stream(self) -> Reply:
-        """Read a stream of 4 s or more, to its end."""
+        """Read a stream that takes 4 s or more."""
         body = {
             'model': MODEL,
             'messages': [{'role': 'user', 'content': 'a long one'}],
@@ -173,7 +173,7 @@
         target = '/v1/chat/completions'
         return request(self.router.callers, 'POST', target, TOKEN, body)
 
-    def test_stream_that_can_not_end_is_not_taken(self) -> None:
+    def test_stream_that_can_not_end_in_time_is_refused(self) -> None:
         self.assertIn(b'[DONE]', self.stream().body)
         process = self.router.process
         process.send_signal(signal.SIGTERM)
@@ -185,7 +185,7 @@
         self.assertEqual(late.error['code'], 'stopping')
         self.assertEqual(late.error['ran'], 'not run')
         self.assertEqual(late.headers['connection'], 'close')
-        # What is known to end in time is served as before.
+        # Requests to targets that answer in time are still served.
         short = request(self.router.callers, 'GET', f'/{SERVICE}/x', TOKEN)
         self.assertEqual(short.status, 200)
         self.assertEqual(process.wait(), 0)
--- a/tests/nocover/test_stop_signals.py
+++ b/tests/nocover/test_stop_signals.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""What else than SIGTERM may end a router, and what it says of that."""
+"""Tests of SIGHUP and of the failure of a control task."""
 
 import concurrent.futures
 import signal
@@ -25,8 +25,8 @@
 HEAD = 'configuration/head'
 
 
-class TestHangUp(unittest.TestCase):
-    def test_hang_up_cuts_no_request(self) -> None:
+class TestHangup(unittest.TestCase):
+    def test_hangup_is_ignored(self) -> None:
         deployment = Deployment(engines=0)
         self.enterContext(deployment)
         deployment.configure_usual()
@@ -34,7 +34,10 @@
         router.process.send_signal(signal.SIGHUP)
         wait_until(
             lambda: (
-                any('hang-up' in line for line in router.process.lines)
+                any(
+                    'router: SIGHUP ignored' in line
+                    for line in router.process.lines
+                )
                 or router.process.process.poll() is not None
             )
         )
@@ -44,7 +47,7 @@
         self.assertEqual(router.process.stop(), 0)
 
 
-class TestControlTask(unittest.TestCase):
+class TestControlTaskFailure(unittest.TestCase):
     def setUp(self) -> None:
         self.deployment = Deployment(
             engines=0, extra='stop = { notice_seconds = 1, grace_seconds = 9 }'
@@ -61,23 +64,23 @@
         writes = [{'key': HEAD, 'value': value}]
         self.call_table('/v1/transact', checks=[], writes=writes)
 
-    def find(self, text: str) -> list[str]:
+    def find_lines(self, text: str) -> list[str]:
         return [line for line in self.process.lines if text in line]
 
-    def test_router_that_lost_one_ends_in_order_and_says_so(self) -> None:
+    def test_router_stops_gracefully_and_logs_the_failure(self) -> None:
         (row,) = self.call_table('/v1/read', keys=[HEAD])['rows']
-        # No router can read this; it takes the task that polls along.
+        # A router can't decode this value, so the task that polls fails.
         self.write_head('unreadable')
-        wait_until(lambda: self.find('router: stopping'))
+        wait_until(lambda: self.find_lines('router: stopping'))
         self.write_head(row['value'])
         callers = self.deployment.router.callers
         reply = request(callers, 'GET', f'/{SERVICE}/x', TOKEN)
         self.assertEqual(reply.status, 200)
         self.assertNotEqual(self.process.wait(), 0)
-        self.assertTrue(self.find('a control task failed'))
-        self.assertTrue(self.find('router: stopped'))
+        self.assertTrue(self.find_lines('a control task failed'))
+        self.assertTrue(self.find_lines('router: stopped'))
 
-    def test_first_signal_after_that_cuts_no_request(self) -> None:
+    def test_first_signal_after_the_failure_cuts_no_request(self) -> None:
         service = f'{SERVICE}-bkk-silom-1'
         self.deployment.set_faults(service, delay_seconds=3.0)
         with concurrent.futures.ThreadPoolExecutor(1) as pool:
@@ -88,16 +91,18 @@
                 lambda: self.deployment.count_arrivals(service, '/slow')
             )
             self.write_head('unreadable')
-            wait_until(lambda: self.find('router: stopping'))
+            wait_until(lambda: self.find_lines('router: stopping'))
             self.process.send_signal(signal.SIGTERM)
             self.assertEqual(running.result().status, 200)
         self.assertNotEqual(self.process.wait(), 0)
 
-    def test_list_that_can_not_be_read_breaks_no_stop_off(self) -> None:
+    def test_unreadable_list_does_not_prevent_the_stop(self) -> None:
         self.write_head('unreadable')
         self.assertNotEqual(self.process.wait(), 0)
-        self.assertTrue(self.find('not taken off the list'))
-        self.assertTrue(self.find('router: stopped'))
+        self.assertTrue(
+            self.find_lines('router: failed to leave the list of routers')
+        )
+        self.assertTrue(self.find_lines('router: stopped'))
 
 
 if __name__ == '__main__':
--- a/tests/support/deployment.py
+++ b/tests/support/deployment.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""A small deployment of real processes on this machine, for tests."""
+"""Runs routers and stand-ins as local processes, for tests."""
 
 import dataclasses
 import hashlib
@@ -37,14 +37,14 @@
 
 @dataclasses.dataclass
 class Reply:
-    """A whole HTTP answer as a test sees it."""
+    """A complete HTTP answer."""
 
     status: int
     headers: dict[str, str]
     body: bytes
 
     def json(self) -> dict:
-        """Return the body, decoded."""
+        """Return the body, decoded from JSON."""
         return json.loads(self.body)
 
     @property
@@ -54,12 +54,12 @@
 
 
 def digest(token: str) -> str:
-    """Return the digest under which a token is configured."""
+    """Return the digest of a token for the configuration."""
     return hashlib.sha256(token.encode()).hexdigest()
 
 
 def workspace(name: str, data_centres: list[str], **fields: object) -> dict:
-    """Return the change that sets a workspace with the usual rights."""
+    """Return a change that sets a workspace with the default permissions."""
     body = {
         'name': name,
         'data_centres': data_centres,
@@ -74,13 +74,13 @@
 
 
 def model(version: str = VERSION) -> dict:
-    """Return the change that sets the model."""
+    """Return a change that sets the model."""
     body = {'name': MODEL, 'version': version, 'group': ENGINE_GROUP}
     return {'kind': 'model', 'name': MODEL, 'body': body}
 
 
 def service() -> dict:
-    """Return the change that sets the plain service."""
+    """Return a change that sets the plain service."""
     body = {'name': SERVICE, 'group': SERVICE}
     return {'kind': 'service', 'name': SERVICE, 'body': body}
 
@@ -94,7 +94,7 @@
     headers: dict[str, str] | None = None,
     timeout: float = 30.0,
 ) -> Reply:
-    """Send one request and return its whole answer."""
+    """Send a request and return the complete answer."""
     connection = http.client.HTTPConnection(address, timeout=timeout)
     all_headers = dict(headers or {})
     if token:
@@ -115,7 +115,10 @@
 
 
 def wait_until(check, seconds: float = 15.0) -> None:  # noqa: ANN001
-    """Return once ``check`` holds; a test fails where it never does."""
+    """Wait until ``check`` returns a true value.
+
+    :raises AssertionError: if it does not within ``seconds``.
+    """
     end = time.monotonic() + seconds
     while not check():
         if time.monotonic() >= end:
@@ -135,12 +138,12 @@
         self.peers = ''
 
     def start(self, program: list[str] | None = None, *options: str) -> None:
-        """Start the process without waiting for it."""
+        """Start the process without waiting until it is ready."""
         arguments = ['router', str(self.settings), *options]
         self.process = ManagedProcess(arguments, program)
 
     def wait_ready(self) -> None:
-        """Wait for the process and learn its addresses."""
+        """Wait until the process is ready and read its addresses."""
         assert self.process is not None
         line = self.process.wait_ready()
         found = dict(re.findall(r'(\w+)=([\d.]+:\d+)', line))
@@ -149,17 +152,23 @@
         self.peers = found['peers']
 
     def status(self) -> dict:
-        """Return what the router tells operators."""
+        """Return the status that the router reports to operators."""
         return request(
             self.operators, 'GET', '/intent/status', OPERATOR_TOKEN
         ).json()
 
 
 class Deployment:
-    """Stand-ins and routers; everything listens on ports of its own.
-
-    :param data_centres: each gets engines, services and routers.
-    :param extra: TOML appended to every router's settings.
+    """Stand-ins and routers, each on ports chosen by the system.
+
+    :param data_centres: data centres, each with engines, services and routers.
+    :param engines: number of engines per data centre.
+    :param services: number of plain services per data centre.
+    :param routers: number of routers per data centre.
+    :param extra: TOML appended to the settings of each router.
+    :param service_can: TOML of the capabilities of plain services.
+    :param engine_can: TOML of the capabilities of engines.
+    :param engine_arguments: further arguments of each engine process.
     """
 
     def __init__(
@@ -184,10 +193,10 @@
         self._counts = (engines, services, routers)
         self._folder = tempfile.TemporaryDirectory()
         self.folder = pathlib.Path(self._folder.name)
-        self._places: dict[str, str] = {}
+        self._upstreams: dict[str, str] = {}
 
     def __enter__(self) -> 'Deployment':
-        """Start everything and wait until it is ready."""
+        """Start all processes and wait until they are ready."""
         try:
             self._write_tokens()
             self._start_standins()
@@ -202,7 +211,7 @@
         return self
 
     def __exit__(self, *_error: object) -> None:
-        """End everything."""
+        """Kill all processes."""
         for router in self.routers.values():
             if router.process is not None:
                 router.process.kill()
@@ -218,7 +227,7 @@
     def start_standin(
         self, name: str, arguments: list[str], listen: str = '127.0.0.1:0'
     ) -> None:
-        """Start a stand-in under a name, or again at its old address."""
+        """Start a stand-in; to restart it, pass its address as ``listen``."""
         process = ManagedProcess(['standin', *arguments, '--listen', listen])
         self.standins[name] = process
         self.addresses[name] = process.wait_ready().split()[-1]
@@ -226,7 +235,7 @@
     def start_engine(
         self, name: str, version: str = VERSION, listen: str = '127.0.0.1:0'
     ) -> None:
-        """Start an engine."""
+        """Start an engine with the given version of the model."""
         arguments = ['engine', '--name', name, '--model', f'{MODEL}={version}']
         arguments += self._engine_arguments
         self.start_standin(name, arguments, listen)
@@ -234,7 +243,7 @@
     def add_router(
         self, data_centre: str, number: int, extra: str = ''
     ) -> Router:
-        """Write a router's settings; the caller starts it."""
+        """Write the settings of a router and return it, not started."""
         name = f'{data_centre}-{number}'
         path = self.folder / f'{name}.toml'
         path.write_text(self._write_settings(name, data_centre) + extra)
@@ -245,21 +254,21 @@
     def configure(
         self, changes: list[dict], router: Router | None = None
     ) -> dict:
-        """Plan and confirm changes; return the plan, in force."""
+        """Plan and confirm changes; return the plan once it is in force."""
         router = router or self.router
-        made = self.call_intent_api(
+        created = self.call_intent_api(
             router, 'POST', '/intent/plans', changes=changes
         )
-        assert made.status == 201, made.body
-        plan_id = made.json()['plan']['plan_id']
-        done = self.call_intent_api(
+        assert created.status == 201, created.body
+        plan_id = created.json()['plan']['plan_id']
+        confirmed = self.call_intent_api(
             router,
             'POST',
             f'/intent/plans/{plan_id}/confirm',
             wait_seconds=20.0,
         )
-        assert done.status == 200, done.body
-        plan = done.json()['plan']
+        assert confirmed.status == 200, confirmed.body
+        plan = confirmed.json()['plan']
         running = [
             item
             for item in self.routers.values()
@@ -270,16 +279,16 @@
         return plan
 
     def configure_usual(self, **fields: object) -> None:
-        """Put the model, the service and one workspace in force."""
-        places = list(self.data_centres)
+        """Configure the model, the plain service and one workspace."""
+        data_centres = list(self.data_centres)
         self.configure(
-            [model(), service(), workspace('daily', places, **fields)]
+            [model(), service(), workspace('daily', data_centres, **fields)]
         )
 
     def call_intent_api(
         self, router: Router, method: str, target: str, **content: object
     ) -> Reply:
-        """Call the intent API as the operator."""
+        """Call the intent API of a router as an operator."""
         return request(
             router.operators,
             method,
@@ -289,22 +298,22 @@
         )
 
     def set_faults(self, name: str, **faults: object) -> None:
-        """Set the fault switches of a stand-in."""
+        """Set the faults that a stand-in injects."""
         reply = request(
             self.addresses[name], 'PUT', '/standin/faults', content=faults
         )
         assert reply.status == 200, reply.body
 
     def count_arrivals(self, name: str, path: str) -> int:
-        """Return how many calls of a path have reached a stand-in.
+        """Return the number of requests for a path received by a stand-in.
 
-        A call counts when it arrives, before any fault delays it.
+        A request is counted on arrival, before any fault delays it.
         """
         reply = request(self.addresses[name], 'GET', '/standin/arrivals')
         return reply.json().get(path, 0)
 
     def count_runs(self) -> dict[str, int]:
-        """Return how often each key ran, over all plain services."""
+        """Return how often all plain services together executed each key."""
         runs: dict[str, int] = {}
         for name, address in self.addresses.items():
             if not name.startswith(SERVICE):
@@ -319,7 +328,7 @@
         return [item for item in self.addresses if item.startswith('engine')]
 
     def set_vms(self, **states: str) -> None:
-        """Set the VM list: names of VMs with their states; others go."""
+        """Replace the VM list by VMs of the given names and states."""
         vms = [
             {'name': name, 'data_centre': '-', 'state': state}
             for name, state in states.items()
@@ -335,15 +344,16 @@
         for data_centre in self.data_centres:
             for number in range(1, engines + 1):
                 name = f'engine-{data_centre}-{number}'
-                self._places[name] = data_centre
+                self._upstreams[name] = data_centre
                 self.start_engine(name)
             for number in range(1, services + 1):
                 name = f'{SERVICE}-{data_centre}-{number}'
-                self._places[name] = data_centre
+                self._upstreams[name] = data_centre
                 self.start_standin(name, ['service', '--name', name])
 
     def _write_tokens(self) -> None:
-        # Once, before any router starts: a router must not read half a file.
+        # Written once, before any router starts, so that no router reads an
+        # incomplete file.
         (self.folder / 'operators.toml').write_text(
             '[[operator]]\nname = "tester"\nrole = "confirmer"\n'
             f'token_digest = "{digest(OPERATOR_TOKEN)}"\n'
@@ -368,7 +378,7 @@
                 ' vms_poll_seconds = 0.3, probe_seconds = 0.2 }'
             )
         lines.append(self._extra)
-        for upstream, place in self._places.items():
+        for upstream, place in self._upstreams.items():
             lines.append(self._write_upstream(upstream, place))
         return '\n'.join(lines) + '\n'
 
--- a/tests/support/process.py
+++ b/tests/support/process.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""A real process of this repository, started and stopped by a test."""
+"""Starts and stops ``lifttrestle`` processes for tests."""
 
 import os
 import pathlib
@@ -28,10 +28,12 @@
 class ManagedProcess:
     """Runs ``lifttrestle`` with arguments and reads its output.
 
-    :param arguments: the command line behind the program's name.
-    :param program: how to start the program, if not from the source tree.
-    :param own_group: start it in a process group of its own. The system hangs
-        up on all of a group that loses its parent while one is paused.
+    :param arguments: arguments after the name of the program.
+    :param program: command that starts the program; by default it is run from
+        the source tree.
+    :param own_group: whether to start it in a process group of its own. If a
+        process group becomes orphaned while one of its processes is stopped,
+        the system sends SIGHUP to all of them.
     """
 
     def __init__(
@@ -57,11 +59,15 @@
 
     @property
     def pid(self) -> int:
-        """Return the process's number."""
+        """Return the process id."""
         return self.process.pid
 
     def wait_ready(self) -> str:
-        """Return the line that says the process is ready."""
+        """Return the output line that reports readiness.
+
+        :raises AssertionError: if the process ends or START_SECONDS pass
+            before that.
+        """
         try:
             line = self._ready.get(timeout=START_SECONDS)
         except queue.Empty:
@@ -72,17 +78,20 @@
         return line
 
     def send_signal(self, number: int) -> None:
-        """Send a signal to this process alone."""
+        """Send a signal to this process only."""
         self.process.send_signal(number)
 
     def stop(self) -> int:
-        """Stop by SIGTERM and return the exit code."""
+        """Send SIGTERM, wait and return the exit code."""
         if self.process.poll() is None:
             self.process.send_signal(signal.SIGTERM)
         return self.wait()
 
     def wait(self) -> int:
-        """Return the exit code once the process has ended."""
+        """Wait for the process to end and return its exit code.
+
+        :raises TimeoutExpired: after STOP_SECONDS; the process is killed.
+        """
         try:
             code = self.process.wait(STOP_SECONDS)
         except subprocess.TimeoutExpired:
@@ -92,7 +101,7 @@
         return code
 
     def kill(self) -> None:
-        """End the process at once."""
+        """Kill the process."""
         if self.process.poll() is None:
             self.process.kill()
         self.process.wait(STOP_SECONDS)
@@ -113,9 +122,9 @@
 
 
 def read_rss_kib(pid: int) -> int:
-    """Return the resident memory of a process in KiB."""
+    """Return the resident set size of a process in KiB."""
     text = pathlib.Path(f'/proc/{pid}/status').read_text()
     for line in text.splitlines():
         if line.startswith('VmRSS:'):
             return int(line.split()[1])
-    raise AssertionError(f'process {pid} shows no memory')
+    raise AssertionError(f'/proc/{pid}/status has no VmRSS')
--- a/tests/support/raw.py
+++ b/tests/support/raw.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Raw bytes to a router's port and back, for input no client would send."""
+"""Sends raw bytes to a port, for input that no HTTP client would send."""
 
 import json
 import socket
@@ -19,9 +19,9 @@
 def exchange(
     address: str, data: bytes, *, end: bool = False, timeout: float = 10.0
 ) -> bytes:
-    """Send bytes and return everything until the other side closes.
+    """Send bytes and return everything received until the peer closes.
 
-    :param end: close our side after sending.
+    :param end: whether to shut down the sending side after ``data``.
     """
     host, _, port = address.rpartition(':')
     with socket.create_connection((host, int(port)), timeout) as raw:
@@ -35,12 +35,12 @@
 
 
 def read_status(answer: bytes) -> int:
-    """Return the status in an answer's first line, 0 for none."""
+    """Return the status in the first line of an answer, 0 if none."""
     if not answer.startswith(b'HTTP/1.1 '):
         return 0
     return int(answer.split(b' ', 2)[1])
 
 
 def read_error(answer: bytes) -> dict:
-    """Return the error in a refusal's JSON body."""
+    """Return the error in the JSON body of a refusal."""
     return json.loads(answer.split(b'\r\n\r\n', 1)[1])['error']
