--- a/src/lifttrestle/internal/router/parts.py
+++ b/src/lifttrestle/internal/router/parts.py
@@ -23,8 +23,8 @@
 from lifttrestle.internal.membership.peers import Peers
 from lifttrestle.internal.replay.recorder import TraceRecorder
 from lifttrestle.internal.router.background import BackgroundTasks
-from lifttrestle.internal.router.needed_times import NeededTimes
 from lifttrestle.internal.router.planned_stop import PlannedStop
+from lifttrestle.internal.router.recent_durations import RecentDurations
 from lifttrestle.internal.routing.policy import Policy
 from lifttrestle.internal.runrecord.ledger import RunLedger
 from lifttrestle.internal.settings.router import RouterSettings
@@ -58,5 +58,5 @@
     metrics: Metrics
     background: BackgroundTasks
     stop: PlannedStop
-    needed: NeededTimes
+    needed: RecentDurations
     recorder: TraceRecorder | None = None
--- a/src/lifttrestle/internal/router/service_answer.py
+++ b/src/lifttrestle/internal/router/service_answer.py
@@ -93,7 +93,7 @@
 
 async def _forward_head(scope: RequestScope, call: UpstreamCall) -> None:
     """Forward the answer to a HEAD request: a length but no body."""
-    await call.read_whole(0)
+    await call.read_body(0)
     headers = _build_headers(scope, call, with_length=True)
     await scope.connection.start_answer(call.head.status, headers)
     await scope.connection.end_answer()
