--- a/tests/nocover/test_fleet_stop_soak.py
+++ b/tests/nocover/test_fleet_stop_soak.py
@@ -44,7 +44,7 @@
 import sys
 import unittest
 
-from tests.support.soak_records import Kind
+from tests.support.soak_records import AttemptResult
 from tests.support.stop_soak import Case
 from tests.support.stop_soak import Outcome
 from tests.support.stop_soak import run_case
@@ -73,7 +73,7 @@
     """Return the case, its broken rules and the events before them."""
     lines = [f'{outcome.case}', *outcome.faults[:SHOWN_FAULTS]]
     lines.append(f'{len(outcome.faults)} in all; actions of the driver:')
-    lines.extend(outcome.record.story)
+    lines.extend(outcome.record.events)
     for name, log in outcome.logs.items():
         if any(f' {name} ' in fault for fault in outcome.faults):
             events = [line for line in log if '"router.' in line]
@@ -85,11 +85,13 @@
     """Return a one-line summary of an outcome."""
     record = outcome.record
     kinds = collections.Counter(
-        str(item.status) if item.kind is Kind.WHOLE else item.kind.value
-        for item in record.tries
+        str(item.status)
+        if item.result is AttemptResult.COMPLETE
+        else item.result.value
+        for item in record.attempts
     )
     served = count_served_late(outcome)
-    not_paused = [life for life in record.lives if not life.paused]
+    not_paused = [life for life in record.starts if not life.paused]
     times = [
         life.exited - life.signalled
         for life in not_paused
@@ -97,7 +99,7 @@
     ]
     return (
         f'seed {outcome.case.seed}: {len(outcome.faults)} broken rules, stops'
-        f' {len(record.lives)}, not paused {len(times)}, the slowest of these'
+        f' {len(record.starts)}, not paused {len(times)}, the slowest of these'
         f' {max(times, default=0.0):.3f} s, served but sent after the'
         f' signal {served}, {dict(sorted(kinds.items()))}'
     )
@@ -106,9 +108,9 @@
 def count_served_late(outcome: Outcome) -> int:
     """Return the number of served requests sent after the stop signal."""
     return sum(
-        item.good and item.began > item.life.announced
-        for item in outcome.record.tries
-        if item.life.announced
+        item.served and item.began > item.router_start.announced
+        for item in outcome.record.attempts
+        if item.router_start.announced
     )
 
 
--- a/tests/support/crash_play.py
+++ b/tests/support/crash_play.py
@@ -25,7 +25,7 @@
 from tests.support.router_play import RouterPlay
 from tests.support.soak_call import call_router
 from tests.support.soak_call import SoakCall
-from tests.support.soak_records import rest
+from tests.support.soak_records import sleep
 
 # After three upstreams have crashed under a request and this time has passed,
 # in which the routers exchange their records, the request may reach at most
@@ -146,7 +146,7 @@
             if status in (0, 502):
                 # Callers retry a failed request at once.
                 await self._call(source, body)
-            await rest(self._done, source.uniform(0.2, 1.2))
+            await sleep(self._done, source.uniform(0.2, 1.2))
 
     async def _send_harmless(self, number: int) -> None:
         source = self._get_source(f'caller {number}')
@@ -160,23 +160,23 @@
             if HELD in body:
                 times = outcome.false_holds.setdefault(sent, [])
                 times.append(time.monotonic())
-            await rest(self._done, source.uniform(0.0, 0.1))
+            await sleep(self._done, source.uniform(0.0, 0.1))
 
     async def _kill_routers(self) -> None:
         source = self._get_source('kills')
         while not self._done.is_set():
-            await rest(self._done, source.uniform(1.0, 4.0))
+            await sleep(self._done, source.uniform(1.0, 4.0))
             count = source.choice((1, 1, 2, ROUTERS))
             killed = source.sample(self._routers, count)
             for router in killed:
                 router.kill()
-            await rest(self._done, source.uniform(0.0, 0.5))
+            await sleep(self._done, source.uniform(0.0, 0.5))
             await asyncio.gather(*(router.start() for router in killed))
 
     async def _crash_groups(self) -> None:
         source = self._get_source('herds')
         while not self._done.is_set():
-            await rest(self._done, source.uniform(1.0, 4.0))
+            await sleep(self._done, source.uniform(1.0, 4.0))
             for upstream in source.sample(self._upstreams, UPSTREAMS // 2):
                 upstream.begin_crash()
 
--- a/tests/support/limit_soak.py
+++ b/tests/support/limit_soak.py
@@ -27,7 +27,7 @@
 from tests.support.router_play import RouterPlay
 from tests.support.soak_call import call_router
 from tests.support.soak_call import SoakCall
-from tests.support.soak_records import rest
+from tests.support.soak_records import sleep
 from tests.support.soak_router import SoakRouter
 
 ROUTERS = 4
@@ -120,7 +120,7 @@
         while not self._done.is_set():
             router = source.choice(self._routers)
             name = f'{source.getrandbits(64):x}'
-            self._lives_by_request[name] = router.life.name
+            self._lives_by_request[name] = router.current_start.name
             answer = await call_router(SoakCall(router.address, name))
             outcome.calls += 1
             if answer is None:
@@ -128,40 +128,40 @@
             else:
                 outcome.served += answer.status == 200
                 outcome.refused += answer.status == 503
-            await rest(self._done, source.uniform(0, 2 * CALL_PAUSE_SECONDS))
+            await sleep(self._done, source.uniform(0, 2 * CALL_PAUSE_SECONDS))
 
     async def _vary_limits(self, upstream: LimitedUpstream) -> None:
         source = self._get_source(f'limits {upstream.instance}')
         while not self._done.is_set():
-            await rest(self._done, source.uniform(0.0, 9.0))
+            await sleep(self._done, source.uniform(0.0, 9.0))
             for _ in range(source.choice((1, 1, 2))):
                 upstream.report(source.choice(RATES))
-                await rest(self._done, source.uniform(3.0, 9.0))
+                await sleep(self._done, source.uniform(3.0, 9.0))
             upstream.report(None)
 
     async def _disturb_routers(self) -> None:
         source = self._get_source('disturbances')
         while not self._done.is_set():
-            await rest(self._done, source.uniform(1.5, 5.0))
+            await sleep(self._done, source.uniform(1.5, 5.0))
             router = source.choice(self._routers)
             if source.random() < 0.5:
                 self._note_disturbed(router)
                 router.signal(signal.SIGSTOP)
-                await rest(self._done, source.uniform(0.2, 1.5))
+                await sleep(self._done, source.uniform(0.2, 1.5))
                 router.signal(signal.SIGCONT)
                 self._note_disturbed(router)
                 continue
             router.kill()
-            await rest(self._done, source.uniform(0.0, 0.5))
+            await sleep(self._done, source.uniform(0.0, 0.5))
             await router.start()
 
     def _note_disturbed(self, router: SoakRouter) -> None:
-        self._disturbed_at[router.life.name] = time.monotonic()
+        self._disturbed_at[router.current_start.name] = time.monotonic()
 
     async def _restart_upstreams(self) -> None:
         source = self._get_source('upstreams')
         while not self._done.is_set():
-            await rest(self._done, source.uniform(4.0, 8.0))
+            await sleep(self._done, source.uniform(4.0, 8.0))
             upstream = source.choice(self._upstreams)
             # The new start reports no limit until it is overloaded itself.
             upstream.report(None)
--- a/tests/support/restore_play.py
+++ b/tests/support/restore_play.py
@@ -35,7 +35,7 @@
 from tests.support.router_play import RouterPlay
 from tests.support.soak_call import call_router
 from tests.support.soak_call import SoakCall
-from tests.support.soak_records import rest
+from tests.support.soak_records import sleep
 from tests.support.soak_router import SoakRouter
 
 ROUTERS = 4
@@ -175,7 +175,7 @@
 
     async def rest(self, seconds: float) -> None:
         """Return after some seconds, or when the play is over."""
-        await rest(self._done, seconds)
+        await sleep(self._done, seconds)
 
     def make_upstream(self, name: str) -> RestartingUpstream:
         """Return an upstream that leaves and starts again."""
@@ -272,7 +272,7 @@
         while not self.done:
             await self.rest(source.uniform(0, 2 * CALL_PAUSE_SECONDS))
             router = source.choice(self._routers)
-            if router.life.ready is None:
+            if router.current_start.ready is None:
                 continue
             version = source.choice(self._versions[-4:])
             await self._send_call(router, version, source)
@@ -281,7 +281,7 @@
         self, router: SoakRouter, version: Version, source: random.Random
     ) -> None:
         request_id = f'{source.getrandbits(64):x}'
-        life = router.life.name
+        life = router.current_start.name
         self._lives_by_request[request_id] = life
         key = source.choice(('k1', version.key))
         call = SoakCall(router.address, request_id, version.path, api_key=key)
@@ -373,7 +373,7 @@
             self._record_disturbance(router)
 
     def _record_disturbance(self, router: SoakRouter) -> None:
-        self._disturbed_at[router.life.name] = time.monotonic()
+        self._disturbed_at[router.current_start.name] = time.monotonic()
 
     def judge(self) -> RestoreOutcome:
         """Add a fault for each late request to a leaving upstream."""
--- a/tests/support/router_play.py
+++ b/tests/support/router_play.py
@@ -30,7 +30,7 @@
 from tests.support.fleet import CONFIGURATION
 from tests.support.fleet_store import FleetStoreStandin
 from tests.support.soak_records import Record
-from tests.support.soak_records import rest
+from tests.support.soak_records import sleep
 from tests.support.soak_router import SoakRouter
 
 GRACE_SECONDS = 8.0
@@ -119,9 +119,9 @@
     async def _disturb_store(self) -> None:
         source = self._get_source('store')
         while not self._done.is_set():
-            await rest(self._done, source.uniform(1.0, 4.0))
+            await sleep(self._done, source.uniform(1.0, 4.0))
             self._store.writable.clear()
-            await rest(self._done, source.uniform(0.3, 1.0))
+            await sleep(self._done, source.uniform(0.3, 1.0))
             self._store.writable.set()
 
 
--- a/tests/support/soak_caller.py
+++ b/tests/support/soak_caller.py
@@ -21,10 +21,10 @@
 from lifttrestle.errors import UpstreamLost
 from lifttrestle.internal.http.client_connection import ClientConnection
 from lifttrestle.internal.http.head import RequestHead
-from tests.support.soak_records import Kind
-from tests.support.soak_records import Life
+from tests.support.soak_records import Attempt
+from tests.support.soak_records import AttemptResult
 from tests.support.soak_records import Record
-from tests.support.soak_records import Try
+from tests.support.soak_records import RouterStart
 from tests.support.soak_router import SoakRouter
 from tests.support.soak_upstream import PLAN
 
@@ -70,7 +70,7 @@
         self._routers = routers
         self._record = record
         self._source = source
-        self._kept: dict[str, tuple[Life, ClientConnection]] = {}
+        self._kept: dict[str, tuple[RouterStart, ClientConnection]] = {}
 
     async def call(self, number: int, wish: Wish) -> None:
         """Send a request until it was served, may have run, or is given up."""
@@ -79,32 +79,46 @@
             router = self._source.choice(self._routers)
             limit = min(wish.limit, wish.wait or wish.limit)
             name = f'{self._name}-{number}.{attempt}'
-            done = Try(
-                name, wish.route, router.life, limit, wish.events, after
+            done = Attempt(
+                name,
+                wish.route,
+                router.current_start,
+                limit,
+                wish.events,
+                after,
             )
             await self._try(router, wish, done)
-            self._record.tries.append(done)
+            self._record.attempts.append(done)
             after += done.body.count(b'\n\n') if done.status == 200 else 0
-            lost = done.kind in (Kind.CLOSED, Kind.CUT) and wish.repeatable
-            if not (lost or done.refused or done.kind is Kind.UNREACHED):
+            lost = (
+                done.result in (AttemptResult.CLOSED, AttemptResult.CUT)
+                and wish.repeatable
+            )
+            if not (
+                lost or done.refused or done.result is AttemptResult.UNREACHED
+            ):
                 return
             await asyncio.sleep(self._source.uniform(0.0, 0.1))
 
-    async def _try(self, router: SoakRouter, wish: Wish, done: Try) -> None:
+    async def _try(
+        self, router: SoakRouter, wish: Wish, done: Attempt
+    ) -> None:
         try:
             async with asyncio.timeout(HUNG_SECONDS):
                 await self._exchange(router, wish, done)
-            done.kind = Kind.WHOLE
+            done.result = AttemptResult.COMPLETE
         except UpstreamConnectFailed:
-            done.kind = Kind.UNREACHED
+            done.result = AttemptResult.UNREACHED
         except UpstreamLost:
-            done.kind = Kind.CUT if done.status else Kind.CLOSED
+            done.result = (
+                AttemptResult.CUT if done.status else AttemptResult.CLOSED
+            )
         except TimeoutError:
-            done.kind = Kind.HUNG
+            done.result = AttemptResult.HUNG
         done.ended = time.monotonic()
 
     async def _exchange(
-        self, router: SoakRouter, wish: Wish, done: Try
+        self, router: SoakRouter, wish: Wish, done: Attempt
     ) -> None:
         connection = await self._connect(router, done)
         head = RequestHead('POST', f'/{wish.route}/x', _build(wish, done))
@@ -118,21 +132,21 @@
             connection.close()
             raise
         if connection.reusable and self._source.random() < KEPT_SHARE:
-            self._kept[router.name] = (done.life, connection)
+            self._kept[router.name] = (done.router_start, connection)
         else:
             connection.close()
 
     async def _connect(
-        self, router: SoakRouter, done: Try
+        self, router: SoakRouter, done: Attempt
     ) -> ClientConnection:
         kept = self._kept.pop(router.name, None)
         if kept is not None and kept[1].reusable:
             done.kept = True
-            done.life = kept[0]
+            done.router_start = kept[0]
             return kept[1]
         connection = await ClientConnection.open(router.address, HUNG_SECONDS)
         # The address may have changed hands while it was connected to.
-        done.life = router.life
+        done.router_start = router.current_start
         return connection
 
     def close(self) -> None:
@@ -141,7 +155,7 @@
             connection.close()
 
 
-def _build(wish: Wish, done: Try) -> tuple[tuple[str, str], ...]:
+def _build(wish: Wish, done: Attempt) -> tuple[tuple[str, str], ...]:
     headers = [
         ('host', 'shop.example'),
         ('request-id', done.id),
--- a/tests/support/soak_records.py
+++ b/tests/support/soak_records.py
@@ -22,24 +22,24 @@
 PROMISING = (408, 421, 429, 503)
 
 
-async def rest(done: asyncio.Event, seconds: float) -> None:
+async def sleep(done: asyncio.Event, seconds: float) -> None:
     """Return after some seconds, or when the play is done."""
     with contextlib.suppress(TimeoutError):
         await asyncio.wait_for(done.wait(), seconds)
 
 
-class Kind(enum.Enum):
+class AttemptResult(enum.Enum):
     """How one try of a request ended for its caller."""
 
     UNREACHED = 'no connection'
     CLOSED = 'closed without an answer'
     CUT = 'answer cut short'
     HUNG = 'neither answer nor end'
-    WHOLE = 'whole answer'
+    COMPLETE = 'whole answer'
 
 
 @dataclasses.dataclass
-class Life:
+class RouterStart:
     """One process of a router; times are monotonic seconds.
 
     :ivar ready: when it was seen to be.
@@ -59,7 +59,7 @@
 
 
 @dataclasses.dataclass
-class Try:
+class Attempt:
     """One try of a request.
 
     :ivar limit: seconds after which it may be given up in any case.
@@ -69,7 +69,7 @@
 
     id: str
     route: str
-    life: Life
+    router_start: RouterStart
     limit: float
     wanted: int
     after: int
@@ -77,19 +77,21 @@
     sent: float | None = None
     ended: float = 0.0
     kept: bool = False
-    kind: Kind = Kind.HUNG
+    result: AttemptResult = AttemptResult.HUNG
     status: int = 0
     body: bytes = b''
 
     @property
     def refused(self) -> bool:
         """Return whether it was told that it did not run."""
-        return self.kind is Kind.WHOLE and self.status in PROMISING
+        return (
+            self.result is AttemptResult.COMPLETE and self.status in PROMISING
+        )
 
     @property
-    def good(self) -> bool:
+    def served(self) -> bool:
         """Return whether it was served."""
-        return self.kind is Kind.WHOLE and self.status == 200
+        return self.result is AttemptResult.COMPLETE and self.status == 200
 
     @property
     def overdue(self) -> bool:
@@ -103,20 +105,20 @@
 
     :ivar runs: how often each try ran, by its id.
     :ivar arrivals: how often it reached an upstream.
-    :ivar story: what the driver did, and when.
+    :ivar events: what the driver did, and when.
     """
 
     grace: float
-    lives: list[Life] = dataclasses.field(default_factory=list)
-    tries: list[Try] = dataclasses.field(default_factory=list)
+    starts: list[RouterStart] = dataclasses.field(default_factory=list)
+    attempts: list[Attempt] = dataclasses.field(default_factory=list)
     runs: collections.Counter[str] = dataclasses.field(
         default_factory=collections.Counter
     )
     arrivals: collections.Counter[str] = dataclasses.field(
         default_factory=collections.Counter
     )
-    story: list[str] = dataclasses.field(default_factory=list)
+    events: list[str] = dataclasses.field(default_factory=list)
 
-    def tell(self, what: str) -> None:
+    def log_event(self, what: str) -> None:
         """Note what the driver did."""
-        self.story.append(f'{time.monotonic():.3f} {what}')
+        self.events.append(f'{time.monotonic():.3f} {what}')
--- a/tests/support/soak_router.py
+++ b/tests/support/soak_router.py
@@ -25,8 +25,8 @@
 
 from lifttrestle.internal.http.address import Address
 from tests.support.process import ManagedProcess
-from tests.support.soak_records import Life
 from tests.support.soak_records import Record
+from tests.support.soak_records import RouterStart
 
 READY_SECONDS = 30.0
 POLL_SECONDS = 0.01
@@ -65,7 +65,7 @@
     ) -> None:
         self.name = name
         self.address = find_address()
-        self.life = Life(f'{name}#0')
+        self.current_start = RouterStart(f'{name}#0')
         self.signals_share = 0.0
         self.slack = 0.0
         self.logs: dict[str, list[str]] = {}
@@ -80,21 +80,21 @@
     async def start(self) -> None:
         """Start a process and return once it is ready."""
         self._write_settings()
-        self.life = Life(f'{self.name}#{len(self.logs) + 1}')
-        self._record.lives.append(self.life)
+        self.current_start = RouterStart(f'{self.name}#{len(self.logs) + 1}')
+        self._record.starts.append(self.current_start)
         self.process = ManagedProcess(
             ['fleet-router', str(self._path)], own_group=True
         )
-        self.logs[self.life.name] = self.process.lines
+        self.logs[self.current_start.name] = self.process.lines
         async with asyncio.timeout(READY_SECONDS):
             while b' 200 ' not in await self._ask_ready():
                 await asyncio.sleep(POLL_SECONDS)
-        self.life.ready = time.monotonic()
-        self._record.tell(f'{self.life.name} ready')
+        self.current_start.ready = time.monotonic()
+        self._record.log_event(f'{self.current_start.name} ready')
 
     async def stop(self) -> None:
         """Tell it to stop, disturb it perhaps, and wait until it is gone."""
-        life = self.life
+        life = self.current_start
         life.signalled = time.monotonic()
         self.signal(signal.SIGTERM)
         work = [
@@ -111,14 +111,14 @@
         if self._is_running():
             assert self.process is not None
             self.process.send_signal(number)
-            self._record.tell(f'{self.life.name} {number.name}')
+            self._record.log_event(f'{self.current_start.name} {number.name}')
 
     def kill(self) -> None:
         """End the process if it still runs."""
         if self.process is not None:
             self.process.kill()
 
-    async def _disturb(self, life: Life) -> None:
+    async def _disturb(self, life: RouterStart) -> None:
         source = self._source
         grace = self._record.grace
         latest = grace * self.signals_share
@@ -137,7 +137,7 @@
             await asyncio.sleep(life.signalled + at - time.monotonic())
             self.signal(number)
 
-    async def _wait_gone(self, life: Life) -> None:
+    async def _wait_gone(self, life: RouterStart) -> None:
         assert self.process is not None and life.signalled is not None
         end = life.signalled + self._record.grace
         while self._is_running():
@@ -149,9 +149,9 @@
         life.code = self.process.process.returncode
         # It is gone; this reads the rest of its log.
         await asyncio.to_thread(self.process.kill)
-        self._record.tell(f'{life.name} gone with {life.code}')
+        self._record.log_event(f'{life.name} gone with {life.code}')
 
-    async def _note_announced(self, life: Life) -> None:
+    async def _note_announced(self, life: RouterStart) -> None:
         while self._is_running():
             if b' 503 ' in await self._ask_ready():
                 life.announced = time.monotonic()
--- a/tests/support/soak_rules.py
+++ b/tests/support/soak_rules.py
@@ -16,10 +16,10 @@
 from collections.abc import Iterator
 import math
 
-from tests.support.soak_records import Kind
-from tests.support.soak_records import Life
+from tests.support.soak_records import Attempt
+from tests.support.soak_records import AttemptResult
 from tests.support.soak_records import Record
-from tests.support.soak_records import Try
+from tests.support.soak_records import RouterStart
 from tests.support.soak_upstream import get_text
 from tests.support.soak_upstream import make_event
 
@@ -39,21 +39,21 @@
     """Return a line on each breach of a rule."""
     found: list[str] = []
     texts: collections.Counter[str] = collections.Counter()
-    for item in record.tries:
+    for item in record.attempts:
         for fault in (*_judge_answer(record, item), _judge_end(record, item)):
             if fault:
                 found.append(f'{fault}: {describe(record, item)}')
         if item.route in ONCE:
             texts[get_text(item.id)] += record.runs[item.id]
     found += [f'b: {x} ran {texts[x]} times' for x in texts if texts[x] > 1]
-    for life in record.lives:
+    for life in record.starts:
         found.extend(_judge_life(record, life))
     return found
 
 
-def describe(record: Record, item: Try) -> str:
+def describe(record: Record, item: Attempt) -> str:
     """Return what was seen of a try, in seconds after its router's signal."""
-    life = item.life
+    life = item.router_start
     zero = life.signalled or item.began
     moments = {
         'began': item.began,
@@ -64,7 +64,7 @@
     }
     times = [f'{k} {v - zero:.3f}' for k, v in moments.items() if v]
     return (
-        f'{item.id} {item.route} at {life.name} {item.kind.value}'
+        f'{item.id} {item.route} at {life.name} {item.result.value}'
         f' {item.status}, {", ".join(times)}, arrived'
         f' {record.arrivals[item.id]}, ran {record.runs[item.id]}, kept'
         f' {item.kept}, wanted {item.wanted} after {item.after}, limit'
@@ -72,10 +72,10 @@
     )
 
 
-def _judge_answer(record: Record, item: Try) -> Iterator[str]:
+def _judge_answer(record: Record, item: Attempt) -> Iterator[str]:
     """Judge what holds for any router, also a paused or killed one."""
-    whole = item.kind is Kind.WHOLE
-    if item.kind is Kind.HUNG:
+    whole = item.result is AttemptResult.COMPLETE
+    if item.result is AttemptResult.HUNG:
         yield 'a: no end'
     if item.refused and record.runs[item.id]:
         yield 'b: refused as not run, and ran'
@@ -92,14 +92,18 @@
         yield 'c: cut short, and looks complete'
 
 
-def _judge_end(record: Record, item: Try) -> str:
+def _judge_end(record: Record, item: Attempt) -> str:
     """Judge what a router that was let run did not serve."""
-    life = item.life
-    if life.paused or item.good or item.refused:
+    life = item.router_start
+    if life.paused or item.served or item.refused:
         return ''
-    if item.kind is Kind.UNREACHED and item.began < (life.ready or math.inf):
+    if item.result is AttemptResult.UNREACHED and item.began < (
+        life.ready or math.inf
+    ):
         return ''
-    if item.overdue and (item.kind is Kind.CUT or item.status == 504):
+    if item.overdue and (
+        item.result is AttemptResult.CUT or item.status == 504
+    ):
         return ''
     if life.signalled is None:
         return 'e: lost at a router that nobody told to stop'
@@ -107,7 +111,7 @@
     notice = min(record.grace * NOTICE_SHARE, NOTICE_SECONDS)
     if item.sent is None:
         return 'a: closed too early' if passed < notice else ''
-    if item.kind is Kind.CLOSED:
+    if item.result is AttemptResult.CLOSED:
         read = item.sent < life.signalled + notice - READ_SECONDS
         taken = read or record.arrivals[item.id] or passed < notice
         return 'a: taken, and closed without an answer' if taken else ''
@@ -117,7 +121,7 @@
     return 'e: given up while there was time' if early else ''
 
 
-def _judge_life(record: Record, life: Life) -> Iterator[str]:
+def _judge_life(record: Record, life: RouterStart) -> Iterator[str]:
     if life.paused or life.signalled is None:
         return
     if life.killed:
@@ -125,12 +129,15 @@
         return
     lost = [
         item
-        for item in record.tries
-        if item.life is life
+        for item in record.attempts
+        if item.router_start is life
         and not item.overdue
         and (
-            item.kind is Kind.CUT
-            or (item.kind is Kind.CLOSED and record.arrivals[item.id])
+            item.result is AttemptResult.CUT
+            or (
+                item.result is AttemptResult.CLOSED
+                and record.arrivals[item.id]
+            )
             or _was_given_up(record, item)
         )
     ]
@@ -138,10 +145,10 @@
         yield f'd: {life.name} exited with {life.code} and lost {len(lost)}'
 
 
-def _was_given_up(record: Record, item: Try) -> bool:
+def _was_given_up(record: Record, item: Attempt) -> bool:
     """Return whether it was taken, and answered at the end of the grace."""
-    signalled = item.life.signalled
-    if signalled is None or item.kind is not Kind.WHOLE:
+    signalled = item.router_start.signalled
+    if signalled is None or item.result is not AttemptResult.COMPLETE:
         return False
     taken = item.began < signalled + record.grace * NOTICE_SHARE
     passed = item.ended - signalled
--- a/tests/support/stop_soak.py
+++ b/tests/support/stop_soak.py
@@ -27,7 +27,7 @@
 from tests.support.soak_caller import SoakCaller
 from tests.support.soak_caller import Wish
 from tests.support.soak_records import Record
-from tests.support.soak_records import rest
+from tests.support.soak_records import sleep
 from tests.support.soak_router import SoakRouter
 from tests.support.soak_rules import find_faults
 from tests.support.soak_upstream import PacedUpstream
@@ -209,18 +209,18 @@
     async def _disturb_store(self) -> None:
         source = self._get_source('store')
         while not self._done.is_set():
-            await rest(self._done, source.uniform(0.3, 2.0))
+            await sleep(self._done, source.uniform(0.3, 2.0))
             if source.random() < 0.5:
-                self._record.tell('the store does not answer writes')
+                self._record.log_event('the store does not answer writes')
                 self._store.writable.clear()
             else:
-                self._record.tell('the store is slow')
+                self._record.log_event('the store is slow')
                 delay = source.uniform(0.05, 0.3)
                 self._store.server.faults = Faults(delay_seconds=delay)
-            await rest(self._done, source.uniform(0.5, 2.5))
+            await sleep(self._done, source.uniform(0.5, 2.5))
             self._store.writable.set()
             self._store.server.faults = Faults()
-            self._record.tell('the store has recovered')
+            self._record.log_event('the store has recovered')
 
 
 async def run_case(case: Case) -> Outcome:
