--- a/tests/support/soak_caller.py
+++ b/tests/support/soak_caller.py
@@ -35,7 +35,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Wish:
+class SoakRequest:
     """What a caller asks for.
 
     :ivar limit: seconds that its route gives it.
@@ -72,7 +72,7 @@
         self._source = source
         self._kept: dict[str, tuple[RouterStart, ClientConnection]] = {}
 
-    async def call(self, number: int, wish: Wish) -> None:
+    async def call(self, number: int, wish: SoakRequest) -> None:
         """Send a request until it was served, may have run, or is given up."""
         after = 0
         for attempt in range(MAX_TRIES):
@@ -101,7 +101,7 @@
             await asyncio.sleep(self._source.uniform(0.0, 0.1))
 
     async def _try(
-        self, router: SoakRouter, wish: Wish, done: Attempt
+        self, router: SoakRouter, wish: SoakRequest, done: Attempt
     ) -> None:
         try:
             async with asyncio.timeout(HUNG_SECONDS):
@@ -118,7 +118,7 @@
         done.ended = time.monotonic()
 
     async def _exchange(
-        self, router: SoakRouter, wish: Wish, done: Attempt
+        self, router: SoakRouter, wish: SoakRequest, done: Attempt
     ) -> None:
         connection = await self._connect(router, done)
         head = RequestHead('POST', f'/{wish.route}/x', _build(wish, done))
@@ -155,7 +155,7 @@
             connection.close()
 
 
-def _build(wish: Wish, done: Attempt) -> tuple[tuple[str, str], ...]:
+def _build(wish: SoakRequest, done: Attempt) -> tuple[tuple[str, str], ...]:
     headers = [
         ('host', 'shop.example'),
         ('request-id', done.id),
--- a/tests/support/stop_soak.py
+++ b/tests/support/stop_soak.py
@@ -25,7 +25,7 @@
 from tests.support.fleet import make_route
 from tests.support.fleet_store import FleetStoreStandin
 from tests.support.soak_caller import SoakCaller
-from tests.support.soak_caller import Wish
+from tests.support.soak_caller import SoakRequest
 from tests.support.soak_records import Record
 from tests.support.soak_records import sleep
 from tests.support.soak_router import SoakRouter
@@ -84,20 +84,20 @@
     ]
 
 
-def choose_wish(source: random.Random, limit: float) -> Wish:
+def choose_wish(source: random.Random, limit: float) -> SoakRequest:
     """Return the next request of a caller."""
     route = source.choice(('safe', 'once', 'late', 'text', 'text', 'essay'))
     if route in ('safe', 'once'):
         pause = source.choice((0.0, 0.02, 0.1, 0.3, 0.5))
-        return Wish(route, SHORT_SECONDS, 0, pause)
+        return SoakRequest(route, SHORT_SECONDS, 0, pause)
     if route == 'late':
         pause = source.choice((0.0, 0.1, 0.4, 1.0, 2.5))
-        return Wish(route, limit, 0, pause)
+        return SoakRequest(route, limit, 0, pause)
     events = source.randint(1, 40)
     pause = source.choice((0.002, 0.01, 0.05, 0.12))
     has_deadline = source.random() < 0.3
     wait = events * pause * 1.5 + 0.3 if has_deadline else 0.0
-    return Wish(route, limit, events, pause, wait)
+    return SoakRequest(route, limit, events, pause, wait)
 
 
 class StopSoak:
