--- a/benchmarks/usage_caps.py
+++ b/benchmarks/usage_caps.py
@@ -21,12 +21,12 @@
 import sys
 import time
 
-from tests.support.played_caps import CapPlay
-from tests.support.played_caps import DemandShares
-from tests.support.played_caps import EqualShares
-from tests.support.played_caps import NoCaps
-from tests.support.played_caps import Play
-from tests.support.played_caps import SharedLevels
+from tests.support.cap_simulation import CapPlay
+from tests.support.cap_simulation import DemandShares
+from tests.support.cap_simulation import EqualShares
+from tests.support.cap_simulation import NoCaps
+from tests.support.cap_simulation import Play
+from tests.support.cap_simulation import SharedLevels
 
 CALM = (1.0,) * 20
 HOT = (1.0,) * 4 + (5.1,) * 10 + (1.0,) * 6
--- a/tests/cover/test_usage_caps.py
+++ b/tests/cover/test_usage_caps.py
@@ -38,11 +38,11 @@
 from lifttrestle.internal.fleet.usage.counts import UsageCounts
 from lifttrestle.internal.fleet.usage.ledger import UsageLedger
 from lifttrestle.internal.platform.stored_format import PlatformFormat
-from tests.support.played_caps import CapPlay
-from tests.support.played_caps import EqualShares
-from tests.support.played_caps import NoCaps
-from tests.support.played_caps import Play
-from tests.support.played_caps import SharedLevels
+from tests.support.cap_simulation import CapPlay
+from tests.support.cap_simulation import EqualShares
+from tests.support.cap_simulation import NoCaps
+from tests.support.cap_simulation import Play
+from tests.support.cap_simulation import SharedLevels
 
 START = datetime.datetime(2026, 1, 1, tzinfo=datetime.timezone.utc)
 # A simulation takes 0.2 s; shrinking a failing example takes minutes.
--- a/tests/nocover/test_crash_soak.py
+++ b/tests/nocover/test_crash_soak.py
@@ -33,7 +33,7 @@
 
 from tests.support.crash_play import CrashOutcome
 from tests.support.crash_play import play
-from tests.support.router_play import play_by_hand
+from tests.support.router_soak import play_by_hand
 
 # With seed 10 every upstream crashes under other requests in the first 0.6 s,
 # three of them also under a popular request, which was held permanently.
--- a/tests/nocover/test_limit_soak.py
+++ b/tests/nocover/test_limit_soak.py
@@ -31,7 +31,7 @@
 
 from tests.support.limit_soak import LimitOutcome
 from tests.support.limit_soak import run_seed
-from tests.support.router_play import play_by_hand
+from tests.support.router_soak import play_by_hand
 
 SEEDS = (1, 2)
 
--- a/tests/nocover/test_restore_soak.py
+++ b/tests/nocover/test_restore_soak.py
@@ -35,9 +35,9 @@
 import sys
 import unittest
 
-from tests.support.restore_play import play
-from tests.support.restore_play import RestoreOutcome
-from tests.support.router_play import play_by_hand
+from tests.support.restore_soak import play
+from tests.support.restore_soak import RestoreOutcome
+from tests.support.router_soak import play_by_hand
 
 SEEDS = (1, 2)
 
--- a/tests/support/crash_play.py
+++ b/tests/support/crash_play.py
@@ -21,8 +21,8 @@
 
 from tests.support.crashing_upstream import CrashingUpstream
 from tests.support.crashing_upstream import FATAL
-from tests.support.router_play import play_seed
-from tests.support.router_play import RouterPlay
+from tests.support.router_soak import play_seed
+from tests.support.router_soak import RouterPlay
 from tests.support.soak_call import call_router
 from tests.support.soak_call import SoakCall
 from tests.support.soak_records import sleep
--- a/tests/support/limit_soak.py
+++ b/tests/support/limit_soak.py
@@ -23,8 +23,8 @@
 from tests.support.limited_fleet import compute_allowance
 from tests.support.limited_fleet import REACTION_SECONDS
 from tests.support.limited_fleet import WINDOW_SECONDS
-from tests.support.router_play import play_seed
-from tests.support.router_play import RouterPlay
+from tests.support.router_soak import play_seed
+from tests.support.router_soak import RouterPlay
 from tests.support.soak_call import call_router
 from tests.support.soak_call import SoakCall
 from tests.support.soak_records import sleep
--- a/tests/support/restore_play.py
+++ b/tests/support/restore_soak.py
@@ -31,8 +31,8 @@
 from tests.support.fleet import make_route
 from tests.support.fleet import ROUTES
 from tests.support.memory_rows import RowsSnapshot
-from tests.support.router_play import play_seed
-from tests.support.router_play import RouterPlay
+from tests.support.router_soak import play_seed
+from tests.support.router_soak import RouterPlay
 from tests.support.soak_call import call_router
 from tests.support.soak_call import SoakCall
 from tests.support.soak_records import sleep
