--- a/tests/nocover/test_crash_soak.py
+++ b/tests/nocover/test_crash_soak.py
@@ -33,7 +33,7 @@
 
 from tests.support.crash_play import CrashOutcome
 from tests.support.crash_play import play
-from tests.support.router_soak import play_by_hand
+from tests.support.router_soak import run_command_line
 
 # With seed 10 every upstream crashes under other requests in the first 0.6 s,
 # three of them also under a popular request, which was held permanently.
@@ -62,4 +62,4 @@
 
 
 if __name__ == '__main__':
-    sys.exit(play_by_hand(play, format_outcome))
+    sys.exit(run_command_line(play, format_outcome))
--- a/tests/nocover/test_limit_soak.py
+++ b/tests/nocover/test_limit_soak.py
@@ -31,7 +31,7 @@
 
 from tests.support.limit_soak import LimitOutcome
 from tests.support.limit_soak import run_seed
-from tests.support.router_soak import play_by_hand
+from tests.support.router_soak import run_command_line
 
 SEEDS = (1, 2)
 
@@ -57,4 +57,4 @@
 
 
 if __name__ == '__main__':
-    sys.exit(play_by_hand(run_seed, format_outcome))
+    sys.exit(run_command_line(run_seed, format_outcome))
--- a/tests/nocover/test_restore_soak.py
+++ b/tests/nocover/test_restore_soak.py
@@ -37,7 +37,7 @@
 
 from tests.support.restore_soak import play
 from tests.support.restore_soak import RestoreOutcome
-from tests.support.router_soak import play_by_hand
+from tests.support.router_soak import run_command_line
 
 SEEDS = (1, 2)
 
@@ -64,4 +64,4 @@
 
 
 if __name__ == '__main__':
-    sys.exit(play_by_hand(play, tell_figures))
+    sys.exit(run_command_line(play, tell_figures))
--- a/tests/support/crash_play.py
+++ b/tests/support/crash_play.py
@@ -21,8 +21,8 @@
 
 from tests.support.crashing_upstream import CrashingUpstream
 from tests.support.crashing_upstream import FATAL
-from tests.support.router_soak import play_seed
-from tests.support.router_soak import RouterPlay
+from tests.support.router_soak import RouterSoak
+from tests.support.router_soak import run_soak
 from tests.support.soak_call import call_router
 from tests.support.soak_call import SoakCall
 from tests.support.soak_records import sleep
@@ -104,7 +104,7 @@
         await super()._run(connection, head, behaviour)
 
 
-class CrashPlay(RouterPlay[CrashOutcome, RecordingUpstream]):
+class CrashPlay(RouterSoak[CrashOutcome, RecordingUpstream]):
     """Runs the soak with one seed."""
 
     seconds = PLAY_SECONDS
@@ -119,7 +119,7 @@
         """Return an upstream that records the requests that crash it."""
         return RecordingUpstream(name, self._store, self._get_source(name))
 
-    def list_work(self) -> list[Coroutine[None, None, None]]:
+    def list_coroutines(self) -> list[Coroutine[None, None, None]]:
         """Return the load of the callers and the injected faults."""
         return [
             *(self._send_fatal(body) for body in FATAL_BODIES),
@@ -180,7 +180,7 @@
             for upstream in source.sample(self._upstreams, UPSTREAMS // 2):
                 upstream.begin_crash()
 
-    def judge(self) -> CrashOutcome:
+    def check(self) -> CrashOutcome:
         """Count the fatal runs that began too late."""
         outcome = self._outcome
         outcome.crashes = sum(item.crashes for item in self._upstreams)
@@ -200,4 +200,4 @@
 
 async def play(seed: int) -> CrashOutcome:
     """Run one seed and return its outcome."""
-    return await play_seed(CrashPlay, seed)
+    return await run_soak(CrashPlay, seed)
--- a/tests/support/limit_soak.py
+++ b/tests/support/limit_soak.py
@@ -23,8 +23,8 @@
 from tests.support.limited_fleet import compute_allowance
 from tests.support.limited_fleet import REACTION_SECONDS
 from tests.support.limited_fleet import WINDOW_SECONDS
-from tests.support.router_soak import play_seed
-from tests.support.router_soak import RouterPlay
+from tests.support.router_soak import RouterSoak
+from tests.support.router_soak import run_soak
 from tests.support.soak_call import call_router
 from tests.support.soak_call import SoakCall
 from tests.support.soak_records import sleep
@@ -86,7 +86,7 @@
         self.reported_rates.append(ReportedRate(time.monotonic(), rate))
 
 
-class LimitSoak(RouterPlay[LimitOutcome, LimitedUpstream]):
+class LimitSoak(RouterSoak[LimitOutcome, LimitedUpstream]):
     """Runs one seed."""
 
     seconds = PLAY_SECONDS
@@ -105,7 +105,7 @@
         """Return an upstream that reports limits."""
         return LimitedUpstream(name, self._store, self._get_source(name))
 
-    def list_work(self) -> list[Coroutine[None, None, None]]:
+    def list_coroutines(self) -> list[Coroutine[None, None, None]]:
         """Return the tasks of callers and of fault injection."""
         return [
             *(self._call(number) for number in range(CALLERS)),
@@ -167,7 +167,7 @@
             upstream.report(None)
             upstream.begin_crash()
 
-    def judge(self) -> LimitOutcome:
+    def check(self) -> LimitOutcome:
         """Compare the arrivals at each upstream with its limits."""
         for upstream in self._upstreams:
             self._check_upstream(upstream)
@@ -225,4 +225,4 @@
 
 async def run_seed(seed: int) -> LimitOutcome:
     """Run one seed."""
-    return await play_seed(LimitSoak, seed)
+    return await run_soak(LimitSoak, seed)
--- a/tests/support/restore_soak.py
+++ b/tests/support/restore_soak.py
@@ -31,8 +31,8 @@
 from tests.support.fleet import make_route
 from tests.support.fleet import ROUTES
 from tests.support.memory_rows import RowsSnapshot
-from tests.support.router_soak import play_seed
-from tests.support.router_soak import RouterPlay
+from tests.support.router_soak import RouterSoak
+from tests.support.router_soak import run_soak
 from tests.support.soak_call import call_router
 from tests.support.soak_call import SoakCall
 from tests.support.soak_records import sleep
@@ -149,7 +149,7 @@
             self._store.remove('servers', self.instance)
 
 
-class RestorePlay(RouterPlay[RestoreOutcome, RestartingUpstream]):
+class RestorePlay(RouterSoak[RestoreOutcome, RestartingUpstream]):
     """Plays one seed."""
 
     seconds = PLAY_SECONDS
@@ -181,7 +181,7 @@
         """Return an upstream that leaves and starts again."""
         return RestartingUpstream(name, self._store, self._get_source(name))
 
-    def list_work(self) -> list[Coroutine[None, None, None]]:
+    def list_coroutines(self) -> list[Coroutine[None, None, None]]:
         """Return the work of callers, upstreams, operator and faults."""
         return [
             *(self._call(number) for number in range(CALLERS)),
@@ -375,7 +375,7 @@
     def _record_disturbance(self, router: SoakRouter) -> None:
         self._disturbed_at[router.current_start.name] = time.monotonic()
 
-    def judge(self) -> RestoreOutcome:
+    def check(self) -> RestoreOutcome:
         """Add a fault for each late request to a leaving upstream."""
         for upstream in self._upstreams:
             self._outcome.departures += len(upstream.departures)
@@ -403,4 +403,4 @@
 
 async def play(seed: int) -> RestoreOutcome:
     """Play one seed."""
-    return await play_seed(RestorePlay, seed)
+    return await run_soak(RestorePlay, seed)
--- a/tests/support/router_soak.py
+++ b/tests/support/router_soak.py
@@ -36,7 +36,7 @@
 GRACE_SECONDS = 8.0
 
 
-class PlayOutcome(Protocol):
+class SoakOutcome(Protocol):
     """What came of one play."""
 
     @property
@@ -44,11 +44,11 @@
         """Return the broken rules in words."""
 
 
-T = TypeVar('T', bound=PlayOutcome)
+T = TypeVar('T', bound=SoakOutcome)
 U = TypeVar('U', bound=CrashingUpstream)
 
 
-class RouterPlay(abc.ABC, Generic[T, U]):
+class RouterSoak(abc.ABC, Generic[T, U]):
     """Plays one seed before router processes, and judges what was seen."""
 
     seconds: float
@@ -75,11 +75,11 @@
         """Return an upstream that has not begun yet."""
 
     @abc.abstractmethod
-    def list_work(self) -> Sequence[Coroutine[None, None, None]]:
+    def list_coroutines(self) -> Sequence[Coroutine[None, None, None]]:
         """Return what goes on until the play is over."""
 
     @abc.abstractmethod
-    def judge(self) -> T:
+    def check(self) -> T:
         """Return what came of it."""
 
     async def run(self) -> T:
@@ -87,7 +87,7 @@
         try:
             await self._set_up()
             async with asyncio.TaskGroup() as tasks:
-                for work in (*self.list_work(), self._disturb_store()):
+                for work in (*self.list_coroutines(), self._disturb_store()):
                     tasks.create_task(work)
                 await asyncio.sleep(self.seconds)
                 self._done.set()
@@ -97,7 +97,7 @@
             for upstream in self._upstreams:
                 await upstream.stop()
             await self._store.server.stop()
-        return self.judge()
+        return self.check()
 
     async def _set_up(self) -> None:
         address = await self._store.start()
@@ -125,13 +125,13 @@
             self._store.writable.set()
 
 
-async def play_seed(make: type[RouterPlay[T, U]], seed: int) -> T:
+async def run_soak(make: type[RouterSoak[T, U]], seed: int) -> T:
     """Play one seed."""
     with tempfile.TemporaryDirectory() as folder:
         return await make(seed, pathlib.Path(folder)).run()
 
 
-def play_by_hand(
+def run_command_line(
     play: Callable[[int], Awaitable[T]], tell: Callable[[T], str]
 ) -> int:
     """Play the seeds that the command line asks for, and print each.
