--- a/benchmarks/usage_caps.py
+++ b/benchmarks/usage_caps.py
@@ -76,7 +76,7 @@
     outcomes = [CapPlay(routers, play, seed).run(design) for seed in SEEDS]
     most = max(outcome.most for outcome in outcomes)
     refused = sum(outcome.refused for outcome in outcomes) / len(SEEDS)
-    given = sum(outcome.given for outcome in outcomes) / len(SEEDS)
+    given = sum(outcome.admitted for outcome in outcomes) / len(SEEDS)
     return f'{most:7.3f} {refused:7.4f} {given:7.3f}'
 
 
--- a/tests/cover/test_usage_caps.py
+++ b/tests/cover/test_usage_caps.py
@@ -436,7 +436,7 @@
                 with self.subTest(routers=routers, play=name):
                     outcome = self.play(routers, play)
                     self.assertLessEqual(outcome.most, 1.0)
-                    self.assertGreaterEqual(outcome.given, MIN_GIVEN)
+                    self.assertGreaterEqual(outcome.admitted, MIN_GIVEN)
 
     def test_hot_workspace_in_two_parts(self):
         for routers in ROUTERS:
@@ -445,7 +445,7 @@
                     play = Play(HOT, cut=(begin, begin + 5.0))
                     outcome = self.play(routers, play)
                     self.assertLessEqual(outcome.most, 1.0)
-                    self.assertGreaterEqual(outcome.given, MIN_GIVEN_CUT)
+                    self.assertGreaterEqual(outcome.admitted, MIN_GIVEN_CUT)
 
     def test_all_killed_in_the_hot_second(self):
         for routers in ROUTERS:
--- a/tests/support/cap_simulation.py
+++ b/tests/support/cap_simulation.py
@@ -86,13 +86,13 @@
 
     :ivar most: highest usage of any window, relative to the allowed usage.
     :ivar refused: fraction of the requests that were refused.
-    :ivar given: admitted units, relative to those that a single bucket
+    :ivar admitted: admitted units, relative to those that a single bucket
         without any delay admits.
     """
 
     most: float
     refused: float
-    given: float
+    admitted: float
 
 
 class CapDesign(abc.ABC):
@@ -184,7 +184,7 @@
         return Outcome(
             most=_find_most(given, window) / allowed,
             refused=refused / asked,
-            given=total / ideal.given,
+            admitted=total / ideal.admitted,
         )
 
     def _restart(self, design: CapDesign, number: int) -> None:
@@ -223,7 +223,7 @@
     """A single token bucket for all routers, without any delay."""
 
     def __init__(self) -> None:
-        self.given = 0.0
+        self.admitted = 0.0
         self._level = CAP.burst
         self._at = 0.0
 
@@ -234,7 +234,7 @@
         self._at = now
         if self._level > 0:
             self._level -= units
-            self.given += units
+            self.admitted += units
 
 
 def _find_most(given: list[tuple[float, float]], window: float) -> float:
