--- a/tests/nocover/test_restore_soak.py
+++ b/tests/nocover/test_restore_soak.py
@@ -27,7 +27,7 @@
 After a disturbance of the store or the router, the bounds of one and two
 seconds start again three seconds later.
 
-More seeds by hand; the exit code is 1 if a rule was broken::
+To run more seeds; the exit code is 1 if a rule was broken::
 
     python -m tests.nocover.test_restore_soak --seeds 20
 """
@@ -35,15 +35,15 @@
 import sys
 import unittest
 
-from tests.support.restore_soak import play
 from tests.support.restore_soak import RestoreOutcome
+from tests.support.restore_soak import run_seed
 from tests.support.router_soak import run_command_line
 
 SEEDS = (1, 2)
 
 
-def tell_figures(outcome: RestoreOutcome) -> str:
-    """Return one line on a play."""
+def format_outcome(outcome: RestoreOutcome) -> str:
+    """Return a one-line summary of an outcome."""
     return (
         f'seed {outcome.seed}: {outcome.calls} calls, {outcome.served} served,'
         f' {outcome.refused} refused, {outcome.unanswered} without an answer,'
@@ -56,12 +56,12 @@
     async def test_nothing_acknowledged_is_undone_by_restores(self):
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                outcome = await play(seed)
-                self.assertEqual(outcome.faults, [], tell_figures(outcome))
+                outcome = await run_seed(seed)
+                self.assertEqual(outcome.faults, [], format_outcome(outcome))
                 self.assertGreater(outcome.restores, 0)
                 self.assertGreater(outcome.departures, 0)
                 self.assertGreater(outcome.served, 0)
 
 
 if __name__ == '__main__':
-    sys.exit(run_command_line(play, tell_figures))
+    sys.exit(run_command_line(run_seed, format_outcome))
--- a/tests/nocover/test_store_restore.py
+++ b/tests/nocover/test_store_restore.py
@@ -63,14 +63,15 @@
 async def restore_snapshot(store, snapshot):
     """Restore a snapshot and give routers time to read it.
 
-    Routers must have read the changes since, or these are lost to them too.
+    Routers must have read all changes made after the snapshot before this is
+    called, or these are lost to them too.
     """
     store.restore(snapshot)
     await asyncio.sleep(1.0)
 
 
-class TestReturn(unittest.IsolatedAsyncioTestCase):
-    async def test_regression_change_after_a_return_was_never_told(self):
+class TestRestore(unittest.IsolatedAsyncioTestCase):
+    async def test_regression_change_after_a_restore_was_missed(self):
         async with run_fleet() as fleet:
             store, router = fleet.store, fleet.router
             snapshot = store.rows.take_snapshot()
@@ -100,14 +101,14 @@
             draining = router.directory.get('p1').entry.draining
             self.assertTrue(draining)
 
-    async def test_regression_routers_were_out_after_a_return(self):
+    async def test_regression_routers_were_not_ready_after_a_restore(self):
         async with run_routers() as (store, relays, other):
             routers = [*relays, other]
             snapshot = store.rows.take_snapshot()
             write_rows(store, LOST_COMMITS)
             await asyncio.sleep(1.0)
             store.restore(snapshot)
-            # Longer than the view stays valid without a proof.
+            # Longer than a view stays valid unless it is known to be current.
             await asyncio.sleep(4.0)
             self.assertTrue(
                 await holds_within(
@@ -194,7 +195,7 @@
             await asyncio.sleep(0.8)
             self.assertIsNotNone(fleet.router.directory.get('p1'))
 
-    async def test_regression_router_that_starts_got_the_older_version(self):
+    async def test_regression_starting_router_got_the_older_version(self):
         async with run_routers() as (store, relays, other):
             snapshot = store.rows.take_snapshot()
             store.put('op', 'config', build_configuration(9))
--- a/tests/support/cap_simulation.py
+++ b/tests/support/cap_simulation.py
@@ -33,18 +33,19 @@
 START = datetime.datetime(2026, 1, 1, tzinfo=datetime.timezone.utc)
 STEP_SECONDS = 0.05
 # Time a killed router needs to restart, during which it serves no requests.
-DOWN_SECONDS = 0.5
+RESTART_SECONDS = 0.5
 DATA_CENTRES = ('a', 'b', 'c', 'd')
 PROMISES = Promises(
     cap_window_seconds=8.0, cap_over_share=0.1, cap_slack=110_000.0
 )
 CAP = UsageCap(350_000.0, 350_000.0, UsageUnit.TOKENS, 200.0)
-CALM_USE = CAP.rate / 1.8
+CALM_RATE = CAP.rate / 1.8
 # Interval between the reports that all routers of a small fleet exchange.
 DIRECT_SECONDS = 0.25
 SUM_SECONDS = 0.1
 MAX_DIRECT_ROUTERS = 37
-IDLE_STEPS = 5
+# Steps between the reports of a router.
+REPORT_STEPS = 5
 # Prompt lengths have two modes: a few thousand tokens and a few hundred.
 LARGE_TOKENS = 9200.0
 SMALL_TOKENS = 1000.0
@@ -58,7 +59,7 @@
 class Play:
     """A simulated scenario.
 
-    :ivar load: load in each second, as a multiple of ``CALM_USE``.
+    :ivar load: load in each second, as a multiple of ``CALM_RATE``.
     :ivar uneven: whether one router receives a third of the requests.
     :ivar cut: begin and end of a network partition in seconds, in which two
         data centres can't reach the other two.
@@ -86,8 +87,8 @@
 
     :ivar most: highest usage of any window, relative to the allowed usage.
     :ivar refused: fraction of the requests that were refused.
-    :ivar admitted: admitted units, relative to those that a single bucket
-        without any delay admits.
+    :ivar admitted: units, relative to those that a single bucket without any
+        delay admits.
     """
 
     most: float
@@ -98,8 +99,8 @@
 class CapDesign(abc.ABC):
     """A design that enforces a cap over many routers."""
 
-    def __init__(self, play: 'CapPlay') -> None:
-        self.play = play
+    def __init__(self, simulation: 'CapPlay') -> None:
+        self.simulation = simulation
 
     @abc.abstractmethod
     def admit(self, router: str, units: float) -> bool:
@@ -114,27 +115,30 @@
 
 
 class CapPlay:
-    """Runs a scenario on a number of routers.
+    """Simulates a scenario on a number of routers.
 
-    :param seed: of all random draws.
+    :param seed: seed of all random draws.
+    :ivar data_centres: data centre of each router.
     """
 
-    def __init__(self, routers: int, play: Play, seed: int) -> None:
-        self.play = play
+    def __init__(self, routers: int, scenario: Play, seed: int) -> None:
+        self.scenario = scenario
         self.clock = ManualClock(START)
         self.source = random.Random(seed)
-        self.began = self.clock.monotonic()
-        self.places = {
+        self._began_at = self.clock.monotonic()
+        self.data_centres = {
             f'r{number}': DATA_CENTRES[number % len(DATA_CENTRES)]
             for number in range(routers)
         }
-        self.routers = list(self.places)
+        self.routers = list(self.data_centres)
         self._down_until: dict[str, float] = {}
-        self.alone = set(self.routers[len(self.routers) - play.isolated :])
+        self._isolated = set(
+            self.routers[len(self.routers) - scenario.isolated :]
+        )
 
     def get_time(self) -> float:
         """Return the seconds since the simulation began."""
-        return self.clock.monotonic() - self.began
+        return self.clock.monotonic() - self._began_at
 
     def is_down(self, router: str) -> bool:
         """Return whether a router is restarting."""
@@ -144,35 +148,37 @@
         """Return whether a message between two routers arrives."""
         if self.is_down(one) or self.is_down(other):
             return False
-        begin, end = self.play.cut
+        begin, end = self.scenario.cut
         if begin <= self.get_time() < end:
-            if one in self.alone or other in self.alone:
+            if one in self._isolated or other in self._isolated:
                 return False
-            here, there = self.places[one], self.places[other]
-            if self.play.cut_all and here != there:
+            here, there = self.data_centres[one], self.data_centres[other]
+            if self.scenario.cut_all and here != there:
                 return False
-            if not self.play.isolated and (here in 'ab') != (there in 'ab'):
+            if not self.scenario.isolated and (here in 'ab') != (
+                there in 'ab'
+            ):
                 return False
-        return self.source.random() >= self.play.loss
+        return self.source.random() >= self.scenario.loss
 
-    def run(self, make: type[CapDesign]) -> Outcome:
+    def run(self, design_type: type[CapDesign]) -> Outcome:
         """Run the scenario with a design."""
-        design = make(self)
-        given: list[tuple[float, float]] = []
-        asked = refused = 0
+        design = design_type(self)
+        admitted: list[tuple[float, float]] = []
+        requests = refused = 0
         ideal = _IdealBucket()
-        seconds = len(self.play.load)
+        seconds = len(self.scenario.load)
         for number in range(round(seconds / STEP_SECONDS)):
             now = self.get_time()
             design.step(number)
             self._restart(design, number)
-            for router, units in self._draw(now):
+            for router, units in self._draw_requests(now):
                 if self.is_down(router):
                     continue
-                asked += 1
+                requests += 1
                 ideal.take(units, now)
                 if design.admit(router, units):
-                    given.append((now, units))
+                    admitted.append((now, units))
                 else:
                     refused += 1
             self.clock.advance(STEP_SECONDS)
@@ -180,42 +186,42 @@
         allowed = (CAP.rate * window + CAP.burst) * (
             1 + PROMISES.cap_over_share
         ) + PROMISES.cap_slack
-        total = sum(units for _, units in given)
+        total = sum(units for _, units in admitted)
         return Outcome(
-            most=_find_most(given, window) / allowed,
-            refused=refused / asked,
+            most=_compute_peak(admitted, window) / allowed,
+            refused=refused / requests,
             admitted=total / ideal.admitted,
         )
 
     def _restart(self, design: CapDesign, number: int) -> None:
-        killed_at = self.play.killed_at
+        killed_at = self.scenario.killed_at
         if killed_at is not None and number == round(killed_at / STEP_SECONDS):
             for router in self.routers:
                 self._kill(design, router)
-        for turn in range(self.play.restarts):
+        for index in range(self.scenario.restarts):
             per_second = round(1 / STEP_SECONDS)
-            if number % per_second == turn % per_second:
-                order = number // per_second * self.play.restarts + turn
+            if number % per_second == index % per_second:
+                order = number // per_second * self.scenario.restarts + index
                 self._kill(design, self.routers[order % len(self.routers)])
 
     def _kill(self, design: CapDesign, router: str) -> None:
-        self._down_until[router] = self.get_time() + DOWN_SECONDS
+        self._down_until[router] = self.get_time() + RESTART_SECONDS
         design.restart(router)
 
-    def _draw(self, now: float) -> list[tuple[str, float]]:
-        load = self.play.load[int(now + STEP_SECONDS / 10)]
-        mean = load * CALM_USE * STEP_SECONDS / MEAN_TOKENS
+    def _draw_requests(self, now: float) -> list[tuple[str, float]]:
+        load = self.scenario.load[int(now + STEP_SECONDS / 10)]
+        mean = load * CALM_RATE * STEP_SECONDS / MEAN_TOKENS
         requests = []
-        wait = self.source.expovariate(mean)
-        while wait < 1.0:
+        at = self.source.expovariate(mean)
+        while at < 1.0:
             large = self.source.random() < LARGE_SHARE
             size = LARGE_TOKENS if large else SMALL_TOKENS
             units = min(self.source.expovariate(1 / size), MAX_TOKENS)
             router = self.source.choice(self.routers)
-            if self.play.uneven and self.source.random() < BUSY_SHARE:
+            if self.scenario.uneven and self.source.random() < BUSY_SHARE:
                 router = self.routers[0]
             requests.append((router, units))
-            wait += self.source.expovariate(mean)
+            at += self.source.expovariate(mean)
         return requests
 
 
@@ -229,25 +235,25 @@
 
     def take(self, units: float, now: float) -> None:
         """Admit a request if the level is positive."""
-        gained = (now - self._at) * CAP.rate
-        self._level = min(self._level + gained, CAP.burst)
+        refill = (now - self._at) * CAP.rate
+        self._level = min(self._level + refill, CAP.burst)
         self._at = now
         if self._level > 0:
             self._level -= units
             self.admitted += units
 
 
-def _find_most(given: list[tuple[float, float]], window: float) -> float:
+def _compute_peak(admitted: list[tuple[float, float]], window: float) -> float:
     """Return the maximum of the units admitted in any window."""
-    held: collections.deque[tuple[float, float]] = collections.deque()
-    total = most = 0.0
-    for at, units in given:
-        held.append((at, units))
+    recent: collections.deque[tuple[float, float]] = collections.deque()
+    total = peak = 0.0
+    for at, units in admitted:
+        recent.append((at, units))
         total += units
-        while held[0][0] <= at - window:
-            total -= held.popleft()[1]
-        most = max(most, total)
-    return most
+        while recent[0][0] <= at - window:
+            total -= recent.popleft()[1]
+        peak = max(peak, total)
+    return peak
 
 
 class NoCaps(CapDesign):
@@ -264,19 +270,19 @@
 class EqualShares(CapDesign):
     """Enforces an equal share of the rate and burst at each router."""
 
-    def __init__(self, play: CapPlay) -> None:
-        super().__init__(play)
+    def __init__(self, simulation: CapPlay) -> None:
+        super().__init__(simulation)
         self._levels = {}
-        for router in play.routers:
+        for router in simulation.routers:
             self.restart(router)
 
     def get_share(self, router: str) -> float:
         """Return the share of a router, between 0 and 1."""
-        return 1 / len(self.play.routers)
+        return 1 / len(self.simulation.routers)
 
     def admit(self, router: str, units: float) -> bool:
         """Take the units from the bucket of the router."""
-        now = self.play.get_time()
+        now = self.simulation.get_time()
         level, at = self._levels[router]
         share = self.get_share(router)
         level = min(level + (now - at) * CAP.rate * share, CAP.burst * share)
@@ -286,8 +292,8 @@
 
     def restart(self, router: str) -> None:
         """Reset the bucket to the share of the start level."""
-        level = CAP.get_start_level(PROMISES) / len(self.play.routers)
-        self._levels[router] = (level, self.play.get_time())
+        level = CAP.get_start_level(PROMISES) / len(self.simulation.routers)
+        self._levels[router] = (level, self.simulation.get_time())
 
 
 class DemandShares(EqualShares):
@@ -297,10 +303,10 @@
     router counts while it is unreachable.
     """
 
-    def __init__(self, play: CapPlay) -> None:
+    def __init__(self, simulation: CapPlay) -> None:
         self._demand = collections.Counter()
-        self._received = {router: {} for router in play.routers}
-        super().__init__(play)
+        self._received = {router: {} for router in simulation.routers}
+        super().__init__(simulation)
 
     def admit(self, router: str, units: float) -> bool:
         """Count the demand and take the units from the router's bucket."""
@@ -309,7 +315,7 @@
 
     def get_share(self, router: str) -> float:
         """Return the share of a router: 0.8 by demand and 0.2 equally."""
-        routers = len(self.play.routers)
+        routers = len(self.simulation.routers)
         received = self._received[router]
         others = sum(received.values())
         own = self._demand[router]
@@ -319,13 +325,13 @@
 
     def step(self, number: int) -> None:
         """Report the demand to all others, four times per second."""
-        for router in self.play.routers:
+        for router in self.simulation.routers:
             self._demand[router] *= 1 - STEP_SECONDS / 4.0
-        if number % IDLE_STEPS:
+        if number % REPORT_STEPS:
             return
-        for one in self.play.routers:
-            for other in self.play.routers:
-                if one != other and self.play.reaches(one, other):
+        for one in self.simulation.routers:
+            for other in self.simulation.routers:
+                if one != other and self.simulation.reaches(one, other):
                     self._received[other][one] = self._demand[one]
 
     def restart(self, router: str) -> None:
@@ -338,41 +344,51 @@
 class SharedLevels(CapDesign):
     """Shares one level between all routers, as ``UsageLedger`` does."""
 
-    def __init__(self, play: CapPlay) -> None:
-        super().__init__(play)
+    def __init__(self, simulation: CapPlay) -> None:
+        super().__init__(simulation)
         self.workspace = Workspace('acme', None, False, CAP)
-        self._uses_aggregators = len(play.routers) > MAX_DIRECT_ROUTERS
+        self._uses_aggregators = len(simulation.routers) > MAX_DIRECT_ROUTERS
         self.datagrams = 0
         self.ledgers: dict[str, UsageLedger] = {}
         self._publishers: dict[str, UsagePublisher] = {}
         self._aggregators = {
-            place: next(r for r in play.routers if play.places[r] == place)
-            for place in DATA_CENTRES
+            data_centre: next(
+                r
+                for r in simulation.routers
+                if simulation.data_centres[r] == data_centre
+            )
+            for data_centre in DATA_CENTRES
         }
-        for router in play.routers:
+        for router in simulation.routers:
             self.restart(router)
 
     def restart(self, router: str) -> None:
         """Replace the ledger of a router by an empty one."""
         caps = {self.workspace.digest: CAP}
-        ledger = UsageLedger(self.play.clock, PROMISES, lambda: caps)
+        ledger = UsageLedger(self.simulation.clock, PROMISES, lambda: caps)
         self.ledgers[router] = ledger
         self._publishers[router] = UsagePublisher(
-            router, ledger, self.play.clock
+            router, ledger, self.simulation.clock
         )
         if not self._uses_aggregators:
-            others = [name for name in self.play.routers if name != router]
+            others = [
+                name for name in self.simulation.routers if name != router
+            ]
             ledger.use_groups(dict.fromkeys(others, 1))
         elif router in self._aggregators.values():
             ledger.use_groups(self._list_groups(router))
         else:
-            ledger.use_aggregator(len(self.play.routers))
+            ledger.use_aggregator(len(self.simulation.routers))
 
     def _list_groups(self, router: str) -> dict[str, int]:
-        place = self.play.places[router]
-        counts = collections.Counter(self.play.places.values())
-        del counts[place]
-        near = [r for r in self.play.routers if self.play.places[r] == place]
+        data_centre = self.simulation.data_centres[router]
+        counts = collections.Counter(self.simulation.data_centres.values())
+        del counts[data_centre]
+        near = [
+            r
+            for r in self.simulation.routers
+            if self.simulation.data_centres[r] == data_centre
+        ]
         near.remove(router)
         return {**dict.fromkeys(near, 1), **counts}
 
@@ -391,25 +407,25 @@
         if not self._uses_aggregators:
             self._send_reports(number)
             return
-        for router in self.play.routers:
-            if (number + hash_router(router)) % IDLE_STEPS == 0:
+        for router in self.simulation.routers:
+            if (number + hash_router(router)) % REPORT_STEPS == 0:
                 self._query_aggregator(router)
         if number % round(SUM_SECONDS / STEP_SECONDS) == 0:
             self._send_sums()
 
     def _send_reports(self, number: int) -> None:
         period = round(DIRECT_SECONDS / STEP_SECONDS)
-        for one in self.play.routers:
+        for one in self.simulation.routers:
             if (number + hash_router(one)) % period:
                 continue
             entries = self._publishers[one].build_report()
-            for other in self.play.routers:
-                if other != one and self.play.reaches(one, other):
+            for other in self.simulation.routers:
+                if other != one and self.simulation.reaches(one, other):
                     self.datagrams += 1
                     self._publishers[other].handle_report(one, one, entries)
 
     def _query_aggregator(self, router: str) -> None:
-        aggregator = self._aggregators[self.play.places[router]]
+        aggregator = self._aggregators[self.simulation.data_centres[router]]
         entries = self._publishers[router].build_report()
         if router == aggregator:
             self._publishers[router].handle_member_report(
@@ -417,26 +433,26 @@
             )
             return
         self.datagrams += 1
-        if not self.play.reaches(router, aggregator):
+        if not self.simulation.reaches(router, aggregator):
             return
         receiver = self._publishers[aggregator]
         receiver.handle_member_report(router, router, entries)
-        if self.play.reaches(aggregator, router):
+        if self.simulation.reaches(aggregator, router):
             self.datagrams += 1
             self._publishers[router].handle_answer(
                 receiver.build_answer(router)
             )
 
     def _send_sums(self) -> None:
-        for place, aggregator in self._aggregators.items():
+        for data_centre, aggregator in self._aggregators.items():
             entries = self._publishers[aggregator].build_sum()
             for other in self._aggregators.values():
                 if other == aggregator:
                     continue
-                if self.play.reaches(aggregator, other):
+                if self.simulation.reaches(aggregator, other):
                     self.datagrams += 1
                     self._publishers[other].handle_report(
-                        aggregator, place, entries
+                        aggregator, data_centre, entries
                     )
 
 
--- a/tests/support/gated_model.py
+++ b/tests/support/gated_model.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""What the models share: a loop of their own and a table behind a gate."""
+"""Base of stateful tests that decide the outcome of each call to a table."""
 
 import asyncio
 
@@ -22,12 +22,12 @@
 from tests.support.gated_table import Gate
 from tests.support.gated_table import settle_loop
 
-# Most calls are answered, or no example would get far.
+# Most calls are answered, since an example makes no progress otherwise.
 FATES = (Fate.ANSWERED,) * 8 + tuple(Fate)
 
 
 class GatedModel(stateful.RuleBasedStateMachine):
-    """Decides the fate of each call that is made to the table."""
+    """Runs an event loop and decides the fate of each call to the table."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -42,7 +42,7 @@
         return self.loop.run_until_complete(work)
 
     def settle(self) -> None:
-        """Let every task run until it waits for the gate or the clock."""
+        """Run all tasks until each waits for the gate or the clock."""
         self.run(settle_loop())
 
     @stateful.precondition(lambda self: self.gate.calls)
@@ -55,7 +55,7 @@
     @stateful.precondition(lambda self: self.gate.calls)
     @stateful.rule(fate=st.sampled_from((Fate.ANSWERED, Fate.REFUSED)))
     def decide_all(self, fate: Fate) -> None:
-        # Long stretches of good or bad service, as a table has them.
+        # Several rounds, as a real table answers or refuses calls for a while.
         for _ in range(4):
             for call in list(self.gate.calls):
                 self.run(self.gate.decide(call, fate))
--- a/tests/support/gated_table.py
+++ b/tests/support/gated_table.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""A table service whose calls a test lets through one by one."""
+"""A table service that holds each call until a test decides its outcome."""
 
 import asyncio
 import dataclasses
@@ -24,12 +24,17 @@
 from lifttrestle.internal.store.row import Transaction
 from lifttrestle.internal.store.table import TableService
 
-Step = typing.Callable[[], typing.Awaitable[object]]
-IDLE_TURNS = 30
+Operation = typing.Callable[[], typing.Awaitable[object]]
+IDLE_ITERATIONS = 30
 
 
 class Fate(enum.Enum):
-    """What becomes of a call."""
+    """Outcome of a call that a test chooses.
+
+    Except for ``ANSWERED``, the caller gets ``PlatformUnavailable``: the call
+    has no effect (``REFUSED``), has taken effect (``ANSWER_LOST``), or takes
+    effect when the test applies it (``LATE``).
+    """
 
     ANSWERED = 'answered'
     REFUSED = 'refused'
@@ -39,49 +44,55 @@
 
 @dataclasses.dataclass(eq=False)
 class Call:
-    """One call that waits for its fate."""
+    """A pending call."""
 
     caller: str
-    step: Step
+    operation: Operation
     future: asyncio.Future
 
 
 class Gate:
-    """Holds the calls of all callers to one table."""
+    """Holds the pending calls of all callers to one table.
+
+    :ivar calls: calls whose outcome is not decided yet, the oldest first.
+    :ivar late: operations that can still take effect though their callers have
+        got an error or crashed.
+    :ivar scans: number of scans that were called.
+    """
 
     def __init__(self) -> None:
         self.table = MemoryTable()
         self.calls: list[Call] = []
-        self.late: list[Step] = []
+        self.late: list[Operation] = []
         self.scans = 0
 
     async def decide(self, call: Call, fate: Fate) -> None:
-        """Let a call meet its fate."""
+        """Complete a pending call with a fate."""
         self.calls.remove(call)
         lost = PlatformUnavailable(fate.value)
         if fate is Fate.REFUSED:
-            _settle(call, lost)
+            _complete(call, lost)
             return
         if fate is Fate.LATE:
-            self.late.append(call.step)
-            _settle(call, lost)
+            self.late.append(call.operation)
+            _complete(call, lost)
             return
-        outcome = await _run(call.step)
-        _settle(call, lost if fate is Fate.ANSWER_LOST else outcome)
+        outcome = await _run(call.operation)
+        _complete(call, lost if fate is Fate.ANSWER_LOST else outcome)
 
     async def apply_late(self, index: int) -> None:
-        """Let a call take effect whose caller was told nothing."""
+        """Apply an operation whose caller has got no answer."""
         await _run(self.late.pop(index))
 
     def forget(self, caller: str) -> None:
-        """Keep the calls of a dead caller as ones that may come late."""
+        """Turn the pending calls of a crashed caller into late operations."""
         for call in [item for item in self.calls if item.caller == caller]:
             self.calls.remove(call)
-            self.late.append(call.step)
+            self.late.append(call.operation)
 
 
 class GatedTable(TableService):
-    """One caller's way to the table, through the gate."""
+    """The table as seen by one caller, whose calls wait at the gate."""
 
     def __init__(self, gate: Gate, caller: str) -> None:
         self._gate = gate
@@ -89,45 +100,47 @@
 
     async def read(self, keys: tuple[str, ...]) -> dict[str, Row]:
         """Return the rows that exist among ``keys``."""
-        return await self._pass(lambda: self._gate.table.read(keys))
+        return await self._submit(lambda: self._gate.table.read(keys))
 
     async def scan(self, prefix: str) -> list[Row]:
         """Return every row whose key begins with ``prefix``."""
         self._gate.scans += 1
-        return await self._pass(lambda: self._gate.table.scan(prefix))
+        return await self._submit(lambda: self._gate.table.scan(prefix))
 
     async def transact(self, transaction: Transaction) -> int:
         """Apply the writes if all checks hold."""
-        return await self._pass(lambda: self._gate.table.transact(transaction))
+        return await self._submit(
+            lambda: self._gate.table.transact(transaction)
+        )
 
-    async def _pass(self, step: Step) -> typing.Any:
+    async def _submit(self, operation: Operation) -> typing.Any:
         future = asyncio.get_running_loop().create_future()
-        self._gate.calls.append(Call(self._caller, step, future))
+        self._gate.calls.append(Call(self._caller, operation, future))
         return await future
 
 
 async def settle_loop() -> None:
-    """Let every task run until it waits for the gate or the clock."""
-    for _ in range(IDLE_TURNS):
+    """Run all tasks until each waits for the gate or the clock."""
+    for _ in range(IDLE_ITERATIONS):
         await asyncio.sleep(0)
 
 
 async def cancel_others() -> None:
-    """Cancel every other task of this loop and wait for their ends."""
+    """Cancel all other tasks of this loop and wait until they have ended."""
     tasks = asyncio.all_tasks() - {asyncio.current_task()}
     for task in tasks:
         task.cancel()
     await asyncio.gather(*tasks, return_exceptions=True)
 
 
-async def _run(step: Step) -> object:
+async def _run(operation: Operation) -> object:
     try:
-        return await step()
+        return await operation()
     except LifttrestleError as error:
         return error
 
 
-def _settle(call: Call, outcome: object) -> None:
+def _complete(call: Call, outcome: object) -> None:
     if call.future.done():
         return
     if isinstance(outcome, Exception):
--- a/tests/support/models.py
+++ b/tests/support/models.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Runs a state machine of a test the same way every time."""
+"""Runs the state machine of a stateful test with derandomized examples."""
 
 from hypothesis import Phase
 from hypothesis import settings
@@ -18,7 +18,7 @@
 
 
 def run_model(machine: type, examples: int = 200, steps: int = 40) -> None:
-    """Run a machine; raise the first broken invariant as it stands."""
+    """Run a state machine; raise the first failure, without shrinking it."""
     stateful.run_state_machine_as_test(
         machine,
         settings=settings(
--- a/tests/support/relay.py
+++ b/tests/support/relay.py
@@ -10,17 +10,20 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""A TCP relay in the test's process that can cut a path and heal it."""
+"""A TCP relay in the test process that can interrupt and restore a path."""
 
 import asyncio
 import threading
 
 
 class Relay:
-    """Passes bytes on to an address, until it is cut.
+    """Forwards connections to an address unless it is cut.
 
-    While cut, running connections are dropped and new ones are closed at
-    once, as when a partition's routes answer with resets.
+    A cut aborts the open connections and all new ones, as in a network
+    partition that answers with resets.
+
+    :param target: address to forward to, as ``HOST:PORT``.
+    :ivar address: address that the relay listens at, as ``HOST:PORT``.
     """
 
     def __init__(self, target: str) -> None:
@@ -35,22 +38,22 @@
         self.address = started.result(10)
 
     def cut(self) -> None:
-        """Drop every connection and refuse new ones."""
+        """Abort all connections, and new ones as soon as they are accepted."""
         self._run(self._set_cut(True))
 
     def heal(self) -> None:
-        """Pass bytes on again."""
+        """Accept and forward connections again."""
         self._run(self._set_cut(False))
 
     def close(self) -> None:
-        """Stop the relay."""
+        """Abort all connections and stop the relay."""
         self._run(self._set_cut(True))
         self._loop.call_soon_threadsafe(self._loop.stop)
         self._thread.join(10)
         self._loop.close()
 
-    def _run(self, work) -> None:  # noqa: ANN001
-        asyncio.run_coroutine_threadsafe(work, self._loop).result(10)
+    def _run(self, coroutine) -> None:  # noqa: ANN001
+        asyncio.run_coroutine_threadsafe(coroutine, self._loop).result(10)
 
     async def _start(self) -> str:
         self._server = await asyncio.start_server(self._serve, '127.0.0.1', 0)
@@ -61,7 +64,7 @@
         self._cut = cut
         for writer in list(self._writers) if cut else ():
             writer.transport.abort()
-        # The dropped connections' tasks end before the call returns.
+        # The tasks of the aborted connections end before the call returns.
         await asyncio.sleep(0.05)
 
     async def _serve(
@@ -71,20 +74,21 @@
             writer.transport.abort()
             return
         try:
-            far_reader, far_writer = await asyncio.open_connection(
+            target_reader, target_writer = await asyncio.open_connection(
                 self._host, self._port
             )
         except OSError:
             writer.transport.abort()
             return
-        pair = {writer, far_writer}
-        self._writers |= pair
+        writers = {writer, target_writer}
+        self._writers |= writers
         await asyncio.gather(
-            self._pass(reader, far_writer), self._pass(far_reader, writer)
+            self._forward(reader, target_writer),
+            self._forward(target_reader, writer),
         )
-        self._writers -= pair
+        self._writers -= writers
 
-    async def _pass(
+    async def _forward(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         try:
--- a/tests/support/restore_soak.py
+++ b/tests/support/restore_soak.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Plays restores of the store from older copies while routers are killed.
+"""Restores the store from older copies while routers are killed.
 
 The operator adds routes and revokes keys, and upstreams drain and leave. After
 each restore they rewrite the rows that the store has lost.
@@ -42,7 +42,7 @@
 UPSTREAMS = 5
 CALLERS = 8
 CALL_PAUSE_SECONDS = 0.1
-PLAY_SECONDS = 28.0
+SOAK_SECONDS = 28.0
 # Time limits that the routers must meet, in seconds.
 APPLY_SECONDS = 2.0
 DRAIN_SECONDS = 2.0
@@ -121,18 +121,18 @@
         self._source = source
         self._state = 'ready'
 
-    async def run_starts(self, play: 'RestorePlay') -> None:
-        """Drain, leave and start again until the play is over."""
-        while not play.done:
-            await play.rest(self._source.uniform(3.0, 9.0))
+    async def restart_repeatedly(self, soak: 'RestoreSoak') -> None:
+        """Drain, leave and start again until the soak is over."""
+        while not soak.done:
+            await soak.sleep(self._source.uniform(3.0, 9.0))
             begin = time.monotonic()
             if self._source.random() < 0.7:
                 self._state = 'draining'
                 self.write_entry()
-                await play.rest(self._source.choice((1.0, 3.0, 8.0)))
+                await soak.sleep(self._source.choice((1.0, 3.0, 8.0)))
             self._state = 'gone'
             self._store.remove('servers', self.instance)
-            await play.rest(self._source.uniform(2.5, 5.0))
+            await soak.sleep(self._source.uniform(2.5, 5.0))
             self.departures.append(Departure(begin, time.monotonic()))
             self._state = 'ready'
             self._starts += 1
@@ -149,32 +149,32 @@
             self._store.remove('servers', self.instance)
 
 
-class RestorePlay(RouterSoak[RestoreOutcome, RestartingUpstream]):
-    """Plays one seed."""
+class RestoreSoak(RouterSoak[RestoreOutcome, RestartingUpstream]):
+    """Runs one seed."""
 
-    seconds = PLAY_SECONDS
+    seconds = SOAK_SECONDS
     router_count = ROUTERS
     upstream_count = UPSTREAMS
 
     def __init__(self, seed: int, folder: pathlib.Path) -> None:
         super().__init__(seed, folder)
-        self._lives_by_request: dict[str, str] = {}
+        self._starts_by_request: dict[str, str] = {}
         self._disturbed_at: dict[str, float] = {}
         self._versions: list[Version] = []
         self._outages: list[Outage] = []
         self._snapshots: list[tuple[float, RowsSnapshot]] = []
-        # The highest version whose route was served, by life.
+        # The highest version whose route was served, by start of a router.
         self._highest_served: dict[str, int] = {}
         self._began_at = time.monotonic()
         self._outcome = RestoreOutcome(seed)
 
     @property
     def done(self) -> bool:
-        """Return whether the play is over."""
+        """Return whether the soak is over."""
         return self._done.is_set()
 
-    async def rest(self, seconds: float) -> None:
-        """Return after some seconds, or when the play is over."""
+    async def sleep(self, seconds: float) -> None:
+        """Sleep for some seconds, but at most until the soak is over."""
         await sleep(self._done, seconds)
 
     def make_upstream(self, name: str) -> RestartingUpstream:
@@ -182,11 +182,14 @@
         return RestartingUpstream(name, self._store, self._get_source(name))
 
     def list_coroutines(self) -> list[Coroutine[None, None, None]]:
-        """Return the work of callers, upstreams, operator and faults."""
+        """Return the coroutines of callers, upstreams, operator and faults."""
         return [
             *(self._call(number) for number in range(CALLERS)),
             # One upstream never leaves, so that calls can always be served.
-            *(upstream.run_starts(self) for upstream in self._upstreams[1:]),
+            *(
+                upstream.restart_repeatedly(self)
+                for upstream in self._upstreams[1:]
+            ),
             self._change_configuration(),
             self._take_snapshots(),
             self._restore_store(),
@@ -197,7 +200,7 @@
         source = self._get_source('operator')
         while not self.done:
             self._add_version(source)
-            await self.rest(source.choice((0.3, 1.0, 2.0, 8.0)))
+            await self.sleep(source.choice((0.3, 1.0, 2.0, 8.0)))
 
     def _add_version(self, source: random.Random) -> None:
         number = 3
@@ -228,22 +231,22 @@
         while not self.done:
             now = time.monotonic()
             self._snapshots.append((now, self._store.rows.take_snapshot()))
-            await self.rest(0.1)
+            await self.sleep(0.1)
 
     async def _restore_store(self) -> None:
         source = self._get_source('restores')
         while not self.done:
             # Mostly longer than the recovery time, so that rules apply.
-            await self.rest(source.uniform(4.0, 9.0))
+            await self.sleep(source.uniform(4.0, 9.0))
             for _ in range(source.choice((1, 1, 2))):
                 await self._restore_once(source)
-                await self.rest(source.uniform(0.1, 1.0))
+                await self.sleep(source.uniform(0.1, 1.0))
 
     async def _restore_once(self, source: random.Random) -> None:
         begin = time.monotonic()
         if source.random() < 0.7:
             self._store.server.faults.refuse = REFUSE_ALL
-            await self.rest(source.uniform(0.1, 2.0))
+            await self.sleep(source.uniform(0.1, 2.0))
         age = source.uniform(0.2, 5.0)
         while (
             len(self._snapshots) > 1 and self._snapshots[-1][0] > begin - age
@@ -256,12 +259,12 @@
         # Other rows may reuse the lost commit numbers first.
         for number in range(source.choice((0, 0, 40, 200))):
             self._store.put('other', f'row-{number}', number)
-        await self.rest(source.uniform(0.05, 0.5))
+        await self.sleep(source.uniform(0.05, 0.5))
         self._put_configuration()
         if source.random() < 0.7:
             self._add_version(source)
         for upstream in self._upstreams:
-            await self.rest(source.uniform(0.0, 0.2))
+            await self.sleep(source.uniform(0.0, 0.2))
             upstream.write_entry()
             # A stopped upstream does not rewrite its entry, so it expires.
             loop = asyncio.get_running_loop()
@@ -270,7 +273,7 @@
     async def _call(self, number: int) -> None:
         source = self._get_source(f'caller {number}')
         while not self.done:
-            await self.rest(source.uniform(0, 2 * CALL_PAUSE_SECONDS))
+            await self.sleep(source.uniform(0, 2 * CALL_PAUSE_SECONDS))
             router = source.choice(self._routers)
             if router.current_start.ready is None:
                 continue
@@ -281,8 +284,8 @@
         self, router: SoakRouter, version: Version, source: random.Random
     ) -> None:
         request_id = f'{source.getrandbits(64):x}'
-        life = router.current_start.name
-        self._lives_by_request[request_id] = life
+        start = router.current_start.name
+        self._starts_by_request[request_id] = start
         key = source.choice(('k1', version.key))
         call = SoakCall(router.address, request_id, version.path, api_key=key)
         sent_at = time.monotonic()
@@ -296,26 +299,26 @@
         outcome.served += answer.status == 200
         if answer.status == 503:
             outcome.refused += 1
-            if self._is_late(life, self._began_at, sent_at, READY_SECONDS):
+            if self._is_late(start, self._began_at, sent_at, READY_SECONDS):
                 outcome.faults.append(
-                    f'{life} refused {version.path} after its recovery'
+                    f'{start} refused {version.path} after its recovery'
                     f' time: {answer.body!r}'
                 )
-        self._judge_answer(life, version, sent_at, answer, key)
+        self._check_refusal(start, version, sent_at, answer, key)
         if answer.status == 200:
-            served = max(self._highest_served.get(life, 0), version.number)
-            self._highest_served[life] = served
+            served = max(self._highest_served.get(start, 0), version.number)
+            self._highest_served[start] = served
         if revoked and answer.status == 200:
             assert version.revoked_at is not None
             late = sent_at - version.revoked_at
             if late > REVOKE_SECONDS:
                 outcome.faults.append(
-                    f'{life} served {key} {late:.2f} s after it was revoked'
+                    f'{start} served {key} {late:.2f} s after it was revoked'
                 )
 
-    def _judge_answer(
+    def _check_refusal(
         self,
-        life: str,
+        start: str,
         version: Version,
         sent_at: float,
         answer: Answer,
@@ -326,29 +329,29 @@
         revoked = key != 'k1' and version.revoked_at is not None
         if answer.status == 401 and revoked:
             return
-        if self._highest_served.get(life, 0) >= version.number:
+        if self._highest_served.get(start, 0) >= version.number:
             self._outcome.faults.append(
-                f'{life} answered {answer.status} for version'
+                f'{start} answered {answer.status} for version'
                 f' {version.number} after serving version'
-                f' {self._highest_served[life]}'
+                f' {self._highest_served[start]}'
             )
         elif self._is_late(
-            life, version.acknowledged_at, sent_at, APPLY_SECONDS
+            start, version.acknowledged_at, sent_at, APPLY_SECONDS
         ):
             late = sent_at - version.acknowledged_at
             self._outcome.faults.append(
-                f'{life} answered {answer.status} {late:.2f} s after'
+                f'{start} answered {answer.status} {late:.2f} s after'
                 f' version {version.number} was acknowledged'
             )
 
     def _is_late(
-        self, life: str, acknowledged_at: float, at: float, bound: float
+        self, start: str, acknowledged_at: float, at: float, bound: float
     ) -> bool:
         """Return whether a time limit after a write has passed.
 
         Outages of the store and disturbances of the router extend it.
         """
-        disturbed = self._disturbed_at.get(life, float('-inf'))
+        disturbed = self._disturbed_at.get(start, float('-inf'))
         end = max(acknowledged_at, disturbed + RECOVERY_SECONDS) + bound
         for outage in self._outages:
             if outage.begin < end:
@@ -358,17 +361,17 @@
     async def _disturb_routers(self) -> None:
         source = self._get_source('disturbances')
         while not self.done:
-            await self.rest(source.uniform(1.5, 5.0))
+            await self.sleep(source.uniform(1.5, 5.0))
             router = source.choice(self._routers)
             if source.random() < 0.5:
                 self._record_disturbance(router)
                 router.signal(signal.SIGSTOP)
-                await self.rest(source.uniform(0.2, 1.5))
+                await self.sleep(source.uniform(0.2, 1.5))
                 router.signal(signal.SIGCONT)
                 self._record_disturbance(router)
                 continue
             router.kill()
-            await self.rest(source.uniform(0.0, 0.5))
+            await self.sleep(source.uniform(0.0, 0.5))
             await router.start()
             self._record_disturbance(router)
 
@@ -379,10 +382,10 @@
         """Add a fault for each late request to a leaving upstream."""
         for upstream in self._upstreams:
             self._outcome.departures += len(upstream.departures)
-            for life, at, departure in self._list_arrivals(upstream):
-                if self._is_late(life, departure.begin, at, DRAIN_SECONDS):
+            for start, at, departure in self._list_arrivals(upstream):
+                if self._is_late(start, departure.begin, at, DRAIN_SECONDS):
                     self._outcome.faults.append(
-                        f'{upstream.instance} received a request from {life}'
+                        f'{upstream.instance} received a request from {start}'
                         f' {at - departure.begin:.2f} s after it began to'
                         ' leave'
                     )
@@ -393,14 +396,14 @@
     ) -> Iterator[tuple[str, float, Departure]]:
         times = zip(upstream.arrivals, upstream.arrived_at, strict=True)
         for head, at in times:
-            life = self._lives_by_request.get(
+            start = self._starts_by_request.get(
                 head.get_header('request-id') or '', ''
             )
             for departure in upstream.departures:
                 if departure.begin <= at < departure.end:
-                    yield life, at, departure
+                    yield start, at, departure
 
 
-async def play(seed: int) -> RestoreOutcome:
-    """Play one seed."""
-    return await run_soak(RestorePlay, seed)
+async def run_seed(seed: int) -> RestoreOutcome:
+    """Run one seed and return its outcome."""
+    return await run_soak(RestoreSoak, seed)
--- a/tests/support/router_soak.py
+++ b/tests/support/router_soak.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""What soaks of router processes before plain upstreams share."""
+"""Base of the soaks of router processes in front of plain upstreams."""
 
 import abc
 import argparse
@@ -37,11 +37,11 @@
 
 
 class SoakOutcome(Protocol):
-    """What came of one play."""
+    """Outcome of one seed."""
 
     @property
     def faults(self) -> list[str]:
-        """Return the broken rules in words."""
+        """Return a description of each violation of a rule."""
 
 
 T = TypeVar('T', bound=SoakOutcome)
@@ -49,7 +49,12 @@
 
 
 class RouterSoak(abc.ABC, Generic[T, U]):
-    """Plays one seed before router processes, and judges what was seen."""
+    """Runs one seed with router processes and checks what was observed.
+
+    :ivar seconds: duration of the soak.
+    :ivar router_count: number of router processes.
+    :ivar upstream_count: number of upstreams.
+    """
 
     seconds: float
     router_count: int
@@ -72,23 +77,26 @@
 
     @abc.abstractmethod
     def make_upstream(self, name: str) -> U:
-        """Return an upstream that has not begun yet."""
+        """Return an upstream that is not started yet."""
 
     @abc.abstractmethod
     def list_coroutines(self) -> Sequence[Coroutine[None, None, None]]:
-        """Return what goes on until the play is over."""
+        """Return coroutines that run until the soak is over."""
 
     @abc.abstractmethod
     def check(self) -> T:
-        """Return what came of it."""
+        """Check the rules and return the outcome."""
 
     async def run(self) -> T:
-        """Play, and judge what was seen."""
+        """Run the soak and check what was observed."""
         try:
             await self._set_up()
             async with asyncio.TaskGroup() as tasks:
-                for work in (*self.list_coroutines(), self._disturb_store()):
-                    tasks.create_task(work)
+                for coroutine in (
+                    *self.list_coroutines(),
+                    self._disturb_store(),
+                ):
+                    tasks.create_task(coroutine)
                 await asyncio.sleep(self.seconds)
                 self._done.set()
         finally:
@@ -125,16 +133,16 @@
             self._store.writable.set()
 
 
-async def run_soak(make: type[RouterSoak[T, U]], seed: int) -> T:
-    """Play one seed."""
+async def run_soak(soak: type[RouterSoak[T, U]], seed: int) -> T:
+    """Run one seed in a temporary folder and return the outcome."""
     with tempfile.TemporaryDirectory() as folder:
-        return await make(seed, pathlib.Path(folder)).run()
+        return await soak(seed, pathlib.Path(folder)).run()
 
 
 def run_command_line(
-    play: Callable[[int], Awaitable[T]], tell: Callable[[T], str]
+    run_seed: Callable[[int], Awaitable[T]], format_outcome: Callable[[T], str]
 ) -> int:
-    """Play the seeds that the command line asks for, and print each.
+    """Run the seeds that the command line selects and print each outcome.
 
     :return: the exit code, 1 if a rule was broken.
     """
@@ -144,14 +152,14 @@
     options = parser.parse_args()
     seeds = range(options.first, options.first + options.seeds)
 
-    async def play_all() -> int:
+    async def run_all() -> int:
         broken = 0
         for seed in seeds:
-            outcome = await play(seed)
-            print(tell(outcome), flush=True)
+            outcome = await run_seed(seed)
+            print(format_outcome(outcome), flush=True)
             broken += bool(outcome.faults)
         return broken
 
-    broken = asyncio.run(play_all())
+    broken = asyncio.run(run_all())
     print(f'{broken} of {len(seeds)} seeds broke a rule')
     return int(broken > 0)
--- a/tests/support/soak_call.py
+++ b/tests/support/soak_call.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""One request of a soak's caller."""
+"""A single request that a soak sends to a router."""
 
 import asyncio
 import dataclasses
@@ -21,14 +21,14 @@
 from lifttrestle.internal.http.client_connection import ClientConnection
 from lifttrestle.internal.http.head import RequestHead
 
-WAIT_SECONDS = 10.0
-CONNECT_SECONDS = 1.0
-MAX_BYTES = 100_000
+TIMEOUT_SECONDS = 10.0
+CONNECT_TIMEOUT_SECONDS = 1.0
+MAX_BODY_BYTES = 100_000
 
 
 @dataclasses.dataclass(frozen=True)
 class SoakCall:
-    """What is asked for, and of which router."""
+    """A request and the address of the router that it is sent to."""
 
     address: Address
     request_id: str
@@ -38,7 +38,10 @@
 
 
 async def call_router(call: SoakCall) -> Answer | None:
-    """Return a router's answer, None if there is none: it was killed."""
+    """Send a request and return the answer.
+
+    None if the connection fails or times out, as when the router is killed.
+    """
     headers = (
         ('host', 'shop.example'),
         ('request-id', call.request_id),
@@ -46,14 +49,14 @@
     )
     connection = None
     try:
-        async with asyncio.timeout(WAIT_SECONDS):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             connection = await ClientConnection.open(
-                call.address, CONNECT_SECONDS
+                call.address, CONNECT_TIMEOUT_SECONDS
             )
             head = RequestHead('POST', call.path, headers)
             await connection.send_request(head, call.body)
             answer = await connection.read_head()
-            body = await connection.read_body(MAX_BYTES)
+            body = await connection.read_body(MAX_BODY_BYTES)
             return Answer(answer.status, answer.headers, body)
     except (LifttrestleError, TimeoutError):
         return None
--- a/tests/support/soak_caller.py
+++ b/tests/support/soak_caller.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""A caller of several routers that sends each request until it is served."""
+"""A caller that retries each request at one of several routers."""
 
 import asyncio
 import dataclasses
@@ -26,29 +26,29 @@
 from tests.support.soak_records import Record
 from tests.support.soak_records import RouterStart
 from tests.support.soak_router import SoakRouter
-from tests.support.soak_upstream import PLAN
+from tests.support.soak_upstream import PLAN_HEADER
 
-MAX_TRIES = 5
-KEPT_SHARE = 0.7
-# Far longer than any request may take.
-HUNG_SECONDS = 30.0
+MAX_ATTEMPTS = 5
+REUSE_SHARE = 0.7
+# Much longer than any request may take.
+HANG_TIMEOUT_SECONDS = 30.0
 
 
 @dataclasses.dataclass(frozen=True)
 class SoakRequest:
-    """What a caller asks for.
+    """A request of a caller.
 
-    :ivar limit: seconds that its route gives it.
-    :ivar events: of its stream; zero for a plain request.
+    :ivar timeout: timeout of its route in seconds.
+    :ivar events: number of events of the stream; 0 for a plain request.
     :ivar pause: seconds before each event, or before the plain answer.
-    :ivar wait: the caller's own limit, or zero.
+    :ivar deadline: the caller's own time limit in seconds, or 0 for none.
     """
 
     route: str
-    limit: float
+    timeout: float
     events: int
     pause: float
-    wait: float = 0.0
+    deadline: float = 0.0
 
     @property
     def repeatable(self) -> bool:
@@ -57,7 +57,7 @@
 
 
 class SoakCaller:
-    """Sends one request after the other, each over one or more routers."""
+    """Sends requests one after the other, each to one or more routers."""
 
     def __init__(
         self,
@@ -70,102 +70,121 @@
         self._routers = routers
         self._record = record
         self._source = source
-        self._kept: dict[str, tuple[RouterStart, ClientConnection]] = {}
-
-    async def call(self, number: int, wish: SoakRequest) -> None:
-        """Send a request until it was served, may have run, or is given up."""
-        after = 0
-        for attempt in range(MAX_TRIES):
+        self._idle_connections: dict[
+            str, tuple[RouterStart, ClientConnection]
+        ] = {}
+
+    async def call(self, number: int, request: SoakRequest) -> None:
+        """Send a request, and retry it while it may be sent again.
+
+        It ends when it is served, when it may have run and must not run twice,
+        or after ``MAX_ATTEMPTS``.
+        """
+        last_event_id = 0
+        for index in range(MAX_ATTEMPTS):
             router = self._source.choice(self._routers)
-            limit = min(wish.limit, wish.wait or wish.limit)
-            name = f'{self._name}-{number}.{attempt}'
-            done = Attempt(
-                name,
-                wish.route,
+            timeout = min(request.timeout, request.deadline or request.timeout)
+            attempt_id = f'{self._name}-{number}.{index}'
+            attempt = Attempt(
+                attempt_id,
+                request.route,
                 router.current_start,
-                limit,
-                wish.events,
-                after,
+                timeout,
+                request.events,
+                last_event_id,
+            )
+            await self._make_attempt(router, request, attempt)
+            self._record.attempts.append(attempt)
+            last_event_id += (
+                attempt.body.count(b'\n\n') if attempt.status == 200 else 0
             )
-            await self._try(router, wish, done)
-            self._record.attempts.append(done)
-            after += done.body.count(b'\n\n') if done.status == 200 else 0
             lost = (
-                done.result in (AttemptResult.CLOSED, AttemptResult.CUT)
-                and wish.repeatable
+                attempt.result in (AttemptResult.CLOSED, AttemptResult.CUT)
+                and request.repeatable
             )
             if not (
-                lost or done.refused or done.result is AttemptResult.UNREACHED
+                lost
+                or attempt.refused
+                or attempt.result is AttemptResult.UNREACHED
             ):
                 return
             await asyncio.sleep(self._source.uniform(0.0, 0.1))
 
-    async def _try(
-        self, router: SoakRouter, wish: SoakRequest, done: Attempt
+    async def _make_attempt(
+        self, router: SoakRouter, request: SoakRequest, attempt: Attempt
     ) -> None:
         try:
-            async with asyncio.timeout(HUNG_SECONDS):
-                await self._exchange(router, wish, done)
-            done.result = AttemptResult.COMPLETE
+            async with asyncio.timeout(HANG_TIMEOUT_SECONDS):
+                await self._exchange(router, request, attempt)
+            attempt.result = AttemptResult.COMPLETE
         except UpstreamConnectFailed:
-            done.result = AttemptResult.UNREACHED
+            attempt.result = AttemptResult.UNREACHED
         except UpstreamLost:
-            done.result = (
-                AttemptResult.CUT if done.status else AttemptResult.CLOSED
+            attempt.result = (
+                AttemptResult.CUT if attempt.status else AttemptResult.CLOSED
             )
         except TimeoutError:
-            done.result = AttemptResult.HUNG
-        done.ended = time.monotonic()
+            attempt.result = AttemptResult.HUNG
+        attempt.ended = time.monotonic()
 
     async def _exchange(
-        self, router: SoakRouter, wish: SoakRequest, done: Attempt
+        self, router: SoakRouter, request: SoakRequest, attempt: Attempt
     ) -> None:
-        connection = await self._connect(router, done)
-        head = RequestHead('POST', f'/{wish.route}/x', _build(wish, done))
+        connection = await self._connect(router, attempt)
+        head = RequestHead(
+            'POST', f'/{request.route}/x', _build_headers(request, attempt)
+        )
         try:
             await connection.send_request(head, b'')
-            done.sent = time.monotonic()
-            done.status = (await connection.read_head()).status
+            attempt.sent = time.monotonic()
+            attempt.status = (await connection.read_head()).status
             while part := await connection.read_part():
-                done.body += part
+                attempt.body += part
         except BaseException:
             connection.close()
             raise
-        if connection.reusable and self._source.random() < KEPT_SHARE:
-            self._kept[router.name] = (done.router_start, connection)
+        if connection.reusable and self._source.random() < REUSE_SHARE:
+            self._idle_connections[router.name] = (
+                attempt.router_start,
+                connection,
+            )
         else:
             connection.close()
 
     async def _connect(
-        self, router: SoakRouter, done: Attempt
+        self, router: SoakRouter, attempt: Attempt
     ) -> ClientConnection:
-        kept = self._kept.pop(router.name, None)
-        if kept is not None and kept[1].reusable:
-            done.kept = True
-            done.router_start = kept[0]
-            return kept[1]
-        connection = await ClientConnection.open(router.address, HUNG_SECONDS)
-        # The address may have changed hands while it was connected to.
-        done.router_start = router.current_start
+        idle = self._idle_connections.pop(router.name, None)
+        if idle is not None and idle[1].reusable:
+            attempt.reused = True
+            attempt.router_start = idle[0]
+            return idle[1]
+        connection = await ClientConnection.open(
+            router.address, HANG_TIMEOUT_SECONDS
+        )
+        # The router may have restarted while the connection was opened.
+        attempt.router_start = router.current_start
         return connection
 
     def close(self) -> None:
-        """Close what was kept."""
-        for _, connection in self._kept.values():
+        """Close the idle connections."""
+        for _, connection in self._idle_connections.values():
             connection.close()
 
 
-def _build(wish: SoakRequest, done: Attempt) -> tuple[tuple[str, str], ...]:
+def _build_headers(
+    request: SoakRequest, attempt: Attempt
+) -> tuple[tuple[str, str], ...]:
     headers = [
         ('host', 'shop.example'),
-        ('request-id', done.id),
+        ('request-id', attempt.id),
         ('authorization', 'Token k1'),
-        (PLAN, f'{wish.events},{wish.pause:.3f}'),
+        (PLAN_HEADER, f'{request.events},{request.pause:.3f}'),
     ]
-    if wish.events:
+    if request.events:
         headers += [('model', 'm'), ('token-count', '460,5')]
-    if wish.wait:
-        headers.append(('deadline-ms', str(round(wish.wait * 1000))))
-    if done.after:
-        headers.append(('last-event-id', str(done.after)))
+    if request.deadline:
+        headers.append(('deadline-ms', str(round(request.deadline * 1000))))
+    if attempt.last_event_id:
+        headers.append(('last-event-id', str(attempt.last_event_id)))
     return tuple(headers)
--- a/tests/support/soak_records.py
+++ b/tests/support/soak_records.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""What a soak of planned stops has seen, for its rules to judge."""
+"""Observations of a soak of planned stops, for ``soak_rules`` to check."""
 
 import asyncio
 import collections
@@ -19,33 +19,36 @@
 import enum
 import time
 
-PROMISING = (408, 421, 429, 503)
+# An answer with one of these states that the request did not run.
+NOT_RUN_STATUSES = (408, 421, 429, 503)
 
 
 async def sleep(done: asyncio.Event, seconds: float) -> None:
-    """Return after some seconds, or when the play is done."""
+    """Sleep for some seconds, but at most until ``done`` is set."""
     with contextlib.suppress(TimeoutError):
         await asyncio.wait_for(done.wait(), seconds)
 
 
 class AttemptResult(enum.Enum):
-    """How one try of a request ended for its caller."""
+    """How an attempt ended for its caller."""
 
     UNREACHED = 'no connection'
     CLOSED = 'closed without an answer'
     CUT = 'answer cut short'
-    HUNG = 'neither answer nor end'
-    COMPLETE = 'whole answer'
+    HUNG = 'not ended in time'
+    COMPLETE = 'complete answer'
 
 
 @dataclasses.dataclass
 class RouterStart:
-    """One process of a router; times are monotonic seconds.
-
-    :ivar ready: when it was seen to be.
-    :ivar signalled: when it was told to stop.
-    :ivar announced: when it was seen to know that.
-    :ivar paused: the driver did that, so that it can't keep its times.
+    """One run of a router process; times are monotonic seconds.
+
+    :ivar ready: when its readiness endpoint first answered 200.
+    :ivar signalled: when the driver sent SIGTERM.
+    :ivar announced: when its readiness endpoint first answered 503 after that.
+    :ivar paused: whether the driver paused it after that. Most rules do not
+        apply then, since a paused router can't meet its time limits.
+    :ivar killed: whether the driver killed it, as it did not exit in time.
     """
 
     name: str
@@ -53,39 +56,42 @@
     signalled: float | None = None
     announced: float | None = None
     exited: float | None = None
-    code: int | None = None
+    exit_code: int | None = None
     paused: bool = False
     killed: bool = False
 
 
 @dataclasses.dataclass
 class Attempt:
-    """One try of a request.
+    """One attempt to send a request; times are monotonic seconds.
 
-    :ivar limit: seconds after which it may be given up in any case.
-    :ivar wanted: the events of its stream, of which it has ``after``.
-    :ivar sent: when it was written whole, None before.
+    :ivar timeout: seconds after which a router may give it up in any case.
+    :ivar event_count: length of the requested stream, 0 for a plain request.
+    :ivar last_event_id: id of the last event that earlier attempts received.
+    :ivar sent: when the request was written completely, None before.
+    :ivar reused: whether it was sent over a connection used before.
     """
 
     id: str
     route: str
     router_start: RouterStart
-    limit: float
-    wanted: int
-    after: int
+    timeout: float
+    event_count: int
+    last_event_id: int
     began: float = dataclasses.field(default_factory=time.monotonic)
     sent: float | None = None
     ended: float = 0.0
-    kept: bool = False
+    reused: bool = False
     result: AttemptResult = AttemptResult.HUNG
     status: int = 0
     body: bytes = b''
 
     @property
     def refused(self) -> bool:
-        """Return whether it was told that it did not run."""
+        """Return whether the answer states that it did not run."""
         return (
-            self.result is AttemptResult.COMPLETE and self.status in PROMISING
+            self.result is AttemptResult.COMPLETE
+            and self.status in NOT_RUN_STATUSES
         )
 
     @property
@@ -95,17 +101,18 @@
 
     @property
     def overdue(self) -> bool:
-        """Return whether its time was over when it ended."""
-        return self.ended - self.began >= self.limit
+        """Return whether it ended after its timeout."""
+        return self.ended - self.began >= self.timeout
 
 
 @dataclasses.dataclass
 class Record:
-    """All that was seen in one play.
+    """All observations of one soak.
 
-    :ivar runs: how often each try ran, by its id.
-    :ivar arrivals: how often it reached an upstream.
-    :ivar events: what the driver did, and when.
+    :ivar grace: grace period of the routers in seconds.
+    :ivar runs: how often upstreams ran each attempt, by its id.
+    :ivar arrivals: how often each attempt reached an upstream, by its id.
+    :ivar events: log of the driver's actions, with monotonic times.
     """
 
     grace: float
@@ -119,6 +126,6 @@
     )
     events: list[str] = dataclasses.field(default_factory=list)
 
-    def log_event(self, what: str) -> None:
-        """Note what the driver did."""
-        self.events.append(f'{time.monotonic():.3f} {what}')
+    def log_event(self, event: str) -> None:
+        """Add an action of the driver to the log."""
+        self.events.append(f'{time.monotonic():.3f} {event}')
--- a/tests/support/soak_rules.py
+++ b/tests/support/soak_rules.py
@@ -10,7 +10,10 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""The rules of planned stops, asked of what callers and upstreams saw."""
+"""Checks the rules of planned stops against what a soak has observed.
+
+The letters of the rules are those of ``test_fleet_stop_soak``.
+"""
 
 import collections
 from collections.abc import Iterator
@@ -20,137 +23,150 @@
 from tests.support.soak_records import AttemptResult
 from tests.support.soak_records import Record
 from tests.support.soak_records import RouterStart
-from tests.support.soak_upstream import get_text
+from tests.support.soak_upstream import get_base_id
 from tests.support.soak_upstream import make_event
 
-ONCE = ('once', 'late', 'essay')
-# Until this share of the grace nothing is given up; timers are never early.
+NON_IDEMPOTENT_ROUTES = ('once', 'late', 'essay')
+# No request is given up before this fraction of the grace period. Timers never
+# fire early.
 SERVED_SHARE = 0.93
-# What a request gets that was taken and can't be served any more.
-GIVEN_UP = (502, 503)
-# The listener stays open for this share, three seconds at the most.
+# Answers to an accepted request that can't be served any more.
+GIVEN_UP_STATUSES = (502, 503)
+# The listener stays open for this fraction of the grace period, but for three
+# seconds at most.
 NOTICE_SHARE = 0.5
-NOTICE_SECONDS = 3.0
-# What is sent this long before the listener closes was read before that.
+MAX_NOTICE_SECONDS = 3.0
+# A request sent this long before the listener closes was read before that.
 READ_SECONDS = 0.5
 
 
 def find_faults(record: Record) -> list[str]:
-    """Return a line on each breach of a rule."""
+    """Return a line for each violation of a rule."""
     found: list[str] = []
-    texts: collections.Counter[str] = collections.Counter()
-    for item in record.attempts:
-        for fault in (*_judge_answer(record, item), _judge_end(record, item)):
+    run_counts: collections.Counter[str] = collections.Counter()
+    for attempt in record.attempts:
+        for fault in (
+            *_check_answer(record, attempt),
+            _check_result(record, attempt),
+        ):
             if fault:
-                found.append(f'{fault}: {describe(record, item)}')
-        if item.route in ONCE:
-            texts[get_text(item.id)] += record.runs[item.id]
-    found += [f'b: {x} ran {texts[x]} times' for x in texts if texts[x] > 1]
-    for life in record.starts:
-        found.extend(_judge_life(record, life))
+                found.append(f'{fault}: {describe(record, attempt)}')
+        if attempt.route in NON_IDEMPOTENT_ROUTES:
+            run_counts[get_base_id(attempt.id)] += record.runs[attempt.id]
+    found += [
+        f'b: {x} ran {run_counts[x]} times'
+        for x in run_counts
+        if run_counts[x] > 1
+    ]
+    for start in record.starts:
+        found.extend(_check_exit(record, start))
     return found
 
 
-def describe(record: Record, item: Attempt) -> str:
-    """Return what was seen of a try, in seconds after its router's signal."""
-    life = item.router_start
-    zero = life.signalled or item.began
-    moments = {
-        'began': item.began,
-        'sent': item.sent,
-        'ended': item.ended,
-        'announced': life.announced,
-        'exited': life.exited,
+def describe(record: Record, attempt: Attempt) -> str:
+    """Describe an attempt; times are seconds after its router's signal."""
+    start = attempt.router_start
+    origin = start.signalled or attempt.began
+    times = {
+        'began': attempt.began,
+        'sent': attempt.sent,
+        'ended': attempt.ended,
+        'announced': start.announced,
+        'exited': start.exited,
     }
-    times = [f'{k} {v - zero:.3f}' for k, v in moments.items() if v]
+    parts = [f'{k} {v - origin:.3f}' for k, v in times.items() if v]
     return (
-        f'{item.id} {item.route} at {life.name} {item.result.value}'
-        f' {item.status}, {", ".join(times)}, arrived'
-        f' {record.arrivals[item.id]}, ran {record.runs[item.id]}, kept'
-        f' {item.kept}, wanted {item.wanted} after {item.after}, limit'
-        f' {item.limit:.2f}, {item.body[-200:]!r}'
+        f'{attempt.id} {attempt.route} at {start.name} {attempt.result.value}'
+        f' {attempt.status}, {", ".join(parts)}, arrived'
+        f' {record.arrivals[attempt.id]}, ran {record.runs[attempt.id]},'
+        f' connection reused {attempt.reused}, {attempt.event_count} events'
+        f' after {attempt.last_event_id}, timeout {attempt.timeout:.2f},'
+        f' {attempt.body[-200:]!r}'
     )
 
 
-def _judge_answer(record: Record, item: Attempt) -> Iterator[str]:
-    """Judge what holds for any router, also a paused or killed one."""
-    whole = item.result is AttemptResult.COMPLETE
-    if item.result is AttemptResult.HUNG:
-        yield 'a: no end'
-    if item.refused and record.runs[item.id]:
-        yield 'b: refused as not run, and ran'
-    if item.status != 200:
+def _check_answer(record: Record, attempt: Attempt) -> Iterator[str]:
+    """Check the rules that also apply to a paused or killed router."""
+    complete = attempt.result is AttemptResult.COMPLETE
+    if attempt.result is AttemptResult.HUNG:
+        yield 'a: not ended in time'
+    if attempt.refused and record.runs[attempt.id]:
+        yield 'b: refused as not run, but ran'
+    if attempt.status != 200:
         return
-    text = get_text(item.id)
-    numbers = range(item.after + 1, item.wanted + 1)
-    body = b''.join(make_event(text, number) for number in numbers)
-    if not item.wanted:
-        body = f'{text} ran'.encode()
-    if not body.startswith(item.body):
-        yield 'c: parts are missing, doubled or out of order'
-    if whole and item.body != body:
-        yield 'c: cut short, and looks complete'
-
-
-def _judge_end(record: Record, item: Attempt) -> str:
-    """Judge what a router that was let run did not serve."""
-    life = item.router_start
-    if life.paused or item.served or item.refused:
+    base_id = get_base_id(attempt.id)
+    numbers = range(attempt.last_event_id + 1, attempt.event_count + 1)
+    body = b''.join(make_event(base_id, number) for number in numbers)
+    if not attempt.event_count:
+        body = f'{base_id} ran'.encode()
+    if not body.startswith(attempt.body):
+        yield 'c: parts are missing, duplicated or out of order'
+    if complete and attempt.body != body:
+        yield 'c: cut, but looks complete'
+
+
+def _check_result(record: Record, attempt: Attempt) -> str:
+    """Check an attempt that was not served by a router that was not paused."""
+    start = attempt.router_start
+    if start.paused or attempt.served or attempt.refused:
         return ''
-    if item.result is AttemptResult.UNREACHED and item.began < (
-        life.ready or math.inf
+    if attempt.result is AttemptResult.UNREACHED and attempt.began < (
+        start.ready or math.inf
     ):
         return ''
-    if item.overdue and (
-        item.result is AttemptResult.CUT or item.status == 504
+    if attempt.overdue and (
+        attempt.result is AttemptResult.CUT or attempt.status == 504
     ):
         return ''
-    if life.signalled is None:
-        return 'e: lost at a router that nobody told to stop'
-    passed = item.ended - life.signalled
-    notice = min(record.grace * NOTICE_SHARE, NOTICE_SECONDS)
-    if item.sent is None:
-        return 'a: closed too early' if passed < notice else ''
-    if item.result is AttemptResult.CLOSED:
-        read = item.sent < life.signalled + notice - READ_SECONDS
-        taken = read or record.arrivals[item.id] or passed < notice
-        return 'a: taken, and closed without an answer' if taken else ''
-    if item.began > (life.announced or math.inf):
-        return 'a: taken after the signal, and not ended'
+    if start.signalled is None:
+        return 'e: failed at a router that was not signalled'
+    passed = attempt.ended - start.signalled
+    notice = min(record.grace * NOTICE_SHARE, MAX_NOTICE_SECONDS)
+    if attempt.sent is None:
+        return 'a: closed in the notice period' if passed < notice else ''
+    if attempt.result is AttemptResult.CLOSED:
+        read = attempt.sent < start.signalled + notice - READ_SECONDS
+        accepted = read or record.arrivals[attempt.id] or passed < notice
+        return 'a: accepted, but closed without an answer' if accepted else ''
+    if attempt.began > (start.announced or math.inf):
+        return 'a: accepted after the signal, but not completed'
     early = passed < record.grace * SERVED_SHARE
-    return 'e: given up while there was time' if early else ''
+    return 'e: given up before the end of the grace period' if early else ''
 
 
-def _judge_life(record: Record, life: RouterStart) -> Iterator[str]:
-    if life.paused or life.signalled is None:
+def _check_exit(record: Record, start: RouterStart) -> Iterator[str]:
+    if start.paused or start.signalled is None:
         return
-    if life.killed:
-        yield f'd: {life.name} had to be killed'
+    if start.killed:
+        yield f'd: {start.name} did not exit in time'
         return
     lost = [
-        item
-        for item in record.attempts
-        if item.router_start is life
-        and not item.overdue
+        attempt
+        for attempt in record.attempts
+        if attempt.router_start is start
+        and not attempt.overdue
         and (
-            item.result is AttemptResult.CUT
+            attempt.result is AttemptResult.CUT
             or (
-                item.result is AttemptResult.CLOSED
-                and record.arrivals[item.id]
+                attempt.result is AttemptResult.CLOSED
+                and record.arrivals[attempt.id]
             )
-            or _was_given_up(record, item)
+            or _was_given_up(record, attempt)
         )
     ]
-    if life.code != int(bool(lost)):
-        yield f'd: {life.name} exited with {life.code} and lost {len(lost)}'
+    if start.exit_code != int(bool(lost)):
+        yield (
+            f'd: {start.name} exited with {start.exit_code} and lost'
+            f' {len(lost)}'
+        )
 
 
-def _was_given_up(record: Record, item: Attempt) -> bool:
-    """Return whether it was taken, and answered at the end of the grace."""
-    signalled = item.router_start.signalled
-    if signalled is None or item.result is not AttemptResult.COMPLETE:
+def _was_given_up(record: Record, attempt: Attempt) -> bool:
+    """Return whether it was accepted, but given up at the end of the grace."""
+    signalled = attempt.router_start.signalled
+    if signalled is None or attempt.result is not AttemptResult.COMPLETE:
         return False
-    taken = item.began < signalled + record.grace * NOTICE_SHARE
-    passed = item.ended - signalled
+    accepted = attempt.began < signalled + record.grace * NOTICE_SHARE
+    passed = attempt.ended - signalled
     late = passed >= record.grace * SERVED_SHARE
-    return taken and late and item.status in GIVEN_UP
+    return accepted and late and attempt.status in GIVEN_UP_STATUSES
--- a/tests/support/soak_upstream.py
+++ b/tests/support/soak_upstream.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""An upstream whose answers last as long as the request asks for."""
+"""An upstream that answers after delays set by a header of the request."""
 
 import asyncio
 import random
@@ -21,33 +21,34 @@
 from tests.support.fleet_upstream import FleetUpstreamStandin
 from tests.support.fleet_upstream import STAMP
 
-PLAN = 'soak-plan'
+PLAN_HEADER = 'soak-plan'
 DECLINED_SHARE = 0.04
 MAX_REQUESTS = 20_000
 
 
-def get_text(request_id: str) -> str:
-    """Return what a request asks for, whichever try of it this is."""
+def get_base_id(request_id: str) -> str:
+    """Return the id that all attempts of one request have in common."""
     return request_id.rpartition('.')[0]
 
 
-def make_event(text: str, number: int) -> bytes:
-    """Return one event of the stream that is called ``text``."""
-    return f'id: {number}\ndata: {text} {number}\n\n'.encode()
+def make_event(base_id: str, number: int) -> bytes:
+    """Return one event of the stream of the request ``base_id``."""
+    return f'id: {number}\ndata: {base_id} {number}\n\n'.encode()
 
 
 class PacedUpstream(FleetUpstreamStandin):
-    """Takes its time, and turns a few requests away unread.
+    """Delays its answers, and declines a few requests without running them.
 
-    The request's plan is ``EVENTS,SECONDS``: the events of a stream, or none,
-    and the pause before each of them or before the plain answer.
+    The header ``soak-plan`` is ``EVENTS,SECONDS``: the number of events of the
+    stream, or 0 for a plain answer, and the pause before each event or before
+    the plain answer.
     """
 
     def __init__(self, instance: str, source: random.Random) -> None:
         super().__init__(instance)
         weights = (DECLINED_SHARE, 1 - DECLINED_SHARE)
-        both = (Behaviour.DECLINE, Behaviour.GOOD)
-        self.script.extend(source.choices(both, weights, k=MAX_REQUESTS))
+        behaviours = (Behaviour.DECLINE, Behaviour.GOOD)
+        self.script.extend(source.choices(behaviours, weights, k=MAX_REQUESTS))
 
     async def _run(
         self,
@@ -55,12 +56,12 @@
         head: RequestHead,
         behaviour: Behaviour,
     ) -> None:
-        count, _, pause = head.get_header(PLAN).partition(',')
-        text = get_text(head.get_header('request-id'))
+        count, _, pause = head.get_header(PLAN_HEADER).partition(',')
+        base_id = get_base_id(head.get_header('request-id'))
         headers = (*self._echo(head), ('server-stamp', STAMP))
         if not int(count):
             await asyncio.sleep(float(pause))
-            body = f'{text} ran'.encode()
+            body = f'{base_id} ran'.encode()
             headers += (('content-length', str(len(body))),)
             await connection.start_answer(200, headers)
             await connection.send_part(body)
@@ -71,5 +72,5 @@
         first = int(head.get_header('last-event-id', '0')) + 1
         for number in range(first, int(count) + 1):
             await asyncio.sleep(float(pause))
-            await connection.send_part(make_event(text, number))
+            await connection.send_part(make_event(base_id, number))
         await connection.end_answer()
