--- a/benchmarks/usage_caps.py
+++ b/benchmarks/usage_caps.py
@@ -22,12 +22,12 @@
 import sys
 import time
 
-from tests.support.played_caps import CapPlay
-from tests.support.played_caps import DemandShares
-from tests.support.played_caps import EqualShares
-from tests.support.played_caps import NoCaps
-from tests.support.played_caps import Play
-from tests.support.played_caps import SharedLevels
+from tests.support.cap_simulation import CapPlay
+from tests.support.cap_simulation import DemandShares
+from tests.support.cap_simulation import EqualShares
+from tests.support.cap_simulation import NoCaps
+from tests.support.cap_simulation import Play
+from tests.support.cap_simulation import SharedLevels
 
 CALM = (1.0,) * 20
 HOT = (1.0,) * 4 + (5.1,) * 10 + (1.0,) * 6
@@ -77,7 +77,7 @@
     outcomes = [CapPlay(routers, scenario, seed).run(design) for seed in SEEDS]
     peak = max(outcome.most for outcome in outcomes)
     refused = sum(outcome.refused for outcome in outcomes) / len(SEEDS)
-    admitted = sum(outcome.given for outcome in outcomes) / len(SEEDS)
+    admitted = sum(outcome.admitted for outcome in outcomes) / len(SEEDS)
     return f'{peak:7.3f} {refused:7.4f} {admitted:7.3f}'
 
 
--- a/tests/cover/test_usage_caps.py
+++ b/tests/cover/test_usage_caps.py
@@ -38,11 +38,11 @@
 from lifttrestle.internal.fleet.usage.counts import UsageCounts
 from lifttrestle.internal.fleet.usage.ledger import UsageLedger
 from lifttrestle.internal.platform.stored_format import PlatformFormat
-from tests.support.played_caps import CapPlay
-from tests.support.played_caps import EqualShares
-from tests.support.played_caps import NoCaps
-from tests.support.played_caps import Play
-from tests.support.played_caps import SharedLevels
+from tests.support.cap_simulation import CapPlay
+from tests.support.cap_simulation import EqualShares
+from tests.support.cap_simulation import NoCaps
+from tests.support.cap_simulation import Play
+from tests.support.cap_simulation import SharedLevels
 
 START = datetime.datetime(2026, 1, 1, tzinfo=datetime.timezone.utc)
 # A simulation takes 0.2 s; shrinking a failing example takes minutes.
@@ -438,7 +438,7 @@
                 with self.subTest(routers=routers, play=name):
                     outcome = self.play(routers, play)
                     self.assertLessEqual(outcome.most, 1.0)
-                    self.assertGreaterEqual(outcome.given, MIN_GIVEN)
+                    self.assertGreaterEqual(outcome.admitted, MIN_GIVEN)
 
     def test_hot_workspace_during_a_partition(self):
         for routers in ROUTERS:
@@ -447,7 +447,7 @@
                     play = Play(HOT, cut=(begin, begin + 5.0))
                     outcome = self.play(routers, play)
                     self.assertLessEqual(outcome.most, 1.0)
-                    self.assertGreaterEqual(outcome.given, MIN_GIVEN_CUT)
+                    self.assertGreaterEqual(outcome.admitted, MIN_GIVEN_CUT)
 
     def test_all_routers_killed_under_high_load(self):
         for routers in ROUTERS:
--- a/tests/nocover/test_crash_soak.py
+++ b/tests/nocover/test_crash_soak.py
@@ -33,7 +33,7 @@
 
 from tests.support.crash_soak import CrashOutcome
 from tests.support.crash_soak import run_seed
-from tests.support.router_play import play_by_hand
+from tests.support.router_soak import run_command_line
 
 # With seed 10 every upstream crashes under other requests in the first 0.6 s,
 # three of them also under a popular request, which was held permanently.
@@ -62,4 +62,4 @@
 
 
 if __name__ == '__main__':
-    sys.exit(play_by_hand(run_seed, format_outcome))
+    sys.exit(run_command_line(run_seed, format_outcome))
--- a/tests/support/crash_soak.py
+++ b/tests/support/crash_soak.py
@@ -21,11 +21,11 @@
 
 from tests.support.crashing_upstream import CrashingUpstream
 from tests.support.crashing_upstream import FATAL
-from tests.support.router_play import play_seed
-from tests.support.router_play import RouterPlay
+from tests.support.router_soak import RouterSoak
+from tests.support.router_soak import run_soak
 from tests.support.soak_call import call_router
 from tests.support.soak_call import SoakCall
-from tests.support.soak_records import rest
+from tests.support.soak_records import sleep
 
 # After three upstreams have crashed under a request and this time has passed,
 # in which the routers exchange their records, the request may reach at most
@@ -104,7 +104,7 @@
         await super()._run(connection, head, behaviour)
 
 
-class CrashSoak(RouterPlay[CrashOutcome, RecordingUpstream]):
+class CrashSoak(RouterSoak[CrashOutcome, RecordingUpstream]):
     """Runs one seed."""
 
     seconds = SOAK_SECONDS
@@ -119,7 +119,7 @@
         """Return an upstream that records the requests that crash it."""
         return RecordingUpstream(name, self._store, self._get_source(name))
 
-    def list_work(self) -> list[Coroutine[None, None, None]]:
+    def list_coroutines(self) -> list[Coroutine[None, None, None]]:
         """Return the load of the callers and the injected faults."""
         return [
             *(self._send_fatal(body) for body in FATAL_BODIES),
@@ -146,7 +146,7 @@
             if status in (0, 502):
                 # Callers retry a failed request at once.
                 await self._call(source, body)
-            await rest(self._done, source.uniform(0.2, 1.2))
+            await sleep(self._done, source.uniform(0.2, 1.2))
 
     async def _send_harmless(self, number: int) -> None:
         source = self._get_source(f'caller {number}')
@@ -160,27 +160,27 @@
             if HELD in body:
                 times = outcome.false_holds.setdefault(sent, [])
                 times.append(time.monotonic())
-            await rest(self._done, source.uniform(0.0, 0.1))
+            await sleep(self._done, source.uniform(0.0, 0.1))
 
     async def _kill_routers(self) -> None:
         source = self._get_source('kills')
         while not self._done.is_set():
-            await rest(self._done, source.uniform(1.0, 4.0))
+            await sleep(self._done, source.uniform(1.0, 4.0))
             count = source.choice((1, 1, 2, ROUTERS))
             killed = source.sample(self._routers, count)
             for router in killed:
                 router.kill()
-            await rest(self._done, source.uniform(0.0, 0.5))
+            await sleep(self._done, source.uniform(0.0, 0.5))
             await asyncio.gather(*(router.start() for router in killed))
 
     async def _crash_groups(self) -> None:
         source = self._get_source('herds')
         while not self._done.is_set():
-            await rest(self._done, source.uniform(1.0, 4.0))
+            await sleep(self._done, source.uniform(1.0, 4.0))
             for upstream in source.sample(self._upstreams, UPSTREAMS // 2):
                 upstream.begin_crash()
 
-    def judge(self) -> CrashOutcome:
+    def check(self) -> CrashOutcome:
         """Count the fatal runs that began too late."""
         outcome = self._outcome
         outcome.crashes = sum(item.crashes for item in self._upstreams)
@@ -200,4 +200,4 @@
 
 async def run_seed(seed: int) -> CrashOutcome:
     """Run one seed and return its outcome."""
-    return await play_seed(CrashSoak, seed)
+    return await run_soak(CrashSoak, seed)
