--- a/src/lifttrestle/internal/operators/handler.py
+++ b/src/lifttrestle/internal/operators/handler.py
@@ -177,7 +177,7 @@
         if methods:
             raise RequestRefused(
                 ErrorKind.METHOD_NOT_ALLOWED,
-                f'{head.method} is not used here; use {" or ".join(methods)}',
+                f'{head.method} is not allowed; use {" or ".join(methods)}',
                 field='method',
             )
         raise RequestRefused(
--- a/src/lifttrestle/internal/router/call.py
+++ b/src/lifttrestle/internal/router/call.py
@@ -36,7 +36,7 @@
 class UpstreamCall:
     """An HTTP exchange whose answer has been read up to its head.
 
-    :ivar stall_seconds: the longest pause between two parts of the body.
+    :ivar stall_seconds: longest allowed pause between two parts of the body.
     """
 
     connection: ClientConnection
--- a/src/lifttrestle/internal/router/caller_handler.py
+++ b/src/lifttrestle/internal/router/caller_handler.py
@@ -188,7 +188,8 @@
     def _identify(self, head: RequestHead) -> Workspace:
         """Return the caller's workspace.
 
-        :raises RequestRefused: if it is unknown or may not be served here.
+        :raises RequestRefused: if it is unknown, or may not be served in this
+            data centre.
         """
         workspace = identify_workspace(head, self._parts.keeper.view)
         check_data_centre(workspace, self._parts.settings.router.data_centre)
--- a/src/lifttrestle/internal/router/model_exchange.py
+++ b/src/lifttrestle/internal/router/model_exchange.py
@@ -275,11 +275,11 @@
         if not relay.started and self._is_past_deadline():
             return RequestRefused(
                 ErrorKind.DEADLINE_EXCEEDED,
-                f'no answer began in time: {error}',
+                f'no answer before the deadline: {error}',
                 ran=self._scope.progress.execution,
             )
         if not self._parts.budget.take():
-            return self._refuse(f'no retry is left: {error}')
+            return self._refuse(f'the retry budget is used up: {error}')
         return None
 
     def _prepare_continuation(self) -> bool:
--- a/src/lifttrestle/internal/router/once_exchange.py
+++ b/src/lifttrestle/internal/router/once_exchange.py
@@ -155,7 +155,7 @@
         """Send the request and return its complete answer."""
         with self._chooser.track(chosen):
             try:
-                answer = await self._try(chosen)
+                answer = await self._run_attempt(chosen)
             except ATTEMPT_FAILURES as error:
                 self._chooser.note_failure(self._scope, chosen, error)
                 raise
@@ -178,7 +178,7 @@
             ran=Execution.UNKNOWN,
         ) from None
 
-    async def _try(self, attempt: Attempt) -> Answer:
+    async def _run_attempt(self, attempt: Attempt) -> Answer:
         request_id = f'{self._scope.request_id}-{attempt.number}'
         head = build_head(self._scope, self._request, request_id)
         call = await open_call(
@@ -200,8 +200,8 @@
         attempt.upstream.pool.give_back(call.connection)
         self._scope.progress.apply(RequestEvent.END)
         attempt.decision.outcome = f'status {answer.status}'
-        own = ('x-request-id', self._scope.request_id)
-        return Answer(answer.status, (*answer.headers, own), answer.body)
+        id_header = ('x-request-id', self._scope.request_id)
+        return Answer(answer.status, (*answer.headers, id_header), answer.body)
 
     def _check_deadline(self) -> None:
         in_time = self._parts.clock.monotonic() < self._scope.deadline
--- a/src/lifttrestle/internal/router/parts.py
+++ b/src/lifttrestle/internal/router/parts.py
@@ -39,6 +39,7 @@
     """Components that outlive a request, built once at start.
 
     :ivar source: the source of randomness for choices and ids.
+    :ivar needed: recent durations of requests, by model or service.
     :ivar recorder: records a trace of the requests, if enabled.
     """
 
--- a/src/lifttrestle/internal/router/service_exchange.py
+++ b/src/lifttrestle/internal/router/service_exchange.py
@@ -130,9 +130,9 @@
     async def attempt(self, chosen: Attempt) -> None:
         """Send the request and forward its answer."""
         with self._chooser.track(chosen):
-            await self._try(chosen)
+            await self._run_attempt(chosen)
 
-    async def _try(self, attempt: Attempt) -> None:
+    async def _run_attempt(self, attempt: Attempt) -> None:
         request_id = f'{self._scope.request_id}-{attempt.number}'
         head = build_head(self._scope, self._request, request_id)
         try:
--- a/tests/nocover/test_crash_soak.py
+++ b/tests/nocover/test_crash_soak.py
@@ -23,7 +23,7 @@
 b. no harmless request is held, except for up to 4 s a popular one whose first
    three upstreams crashed before it had succeeded anywhere.
 
-To run more seeds by hand; the exit code is 1 if a rule was violated::
+To run more seeds by hand; the exit code is 1 if a rule was broken::
 
     python -m tests.nocover.test_crash_soak --seeds 20
 """
@@ -41,7 +41,7 @@
 
 
 def format_outcome(outcome: CrashOutcome) -> str:
-    """Return a summary of one run in one line."""
+    """Return a one-line summary of an outcome."""
     sent = sum(outcome.sent.values())
     return (
         f'seed {outcome.seed}: {outcome.crashes} upstreams crashed, {sent}'
--- a/tests/nocover/test_fleet_stop_soak.py
+++ b/tests/nocover/test_fleet_stop_soak.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Soak of planned stops: router processes that are killed after their grace.
+"""Soak of planned stops: router processes that stop within a grace period.
 
 Routers are stopped one by one or concurrently, paused, sent SIGHUP, killed
 and started again at the same address, with a store that is slow or does not
@@ -72,7 +72,7 @@
 def format_faults(outcome: Outcome) -> str:
     """Return the case, its broken rules and the events before them."""
     lines = [f'{outcome.case}', *outcome.faults[:SHOWN_FAULTS]]
-    lines.append(f'{len(outcome.faults)} in all; actions of the driver:')
+    lines.append(f'{len(outcome.faults)} in all; actions of the soak:')
     lines.extend(outcome.record.events)
     for name, log in outcome.logs.items():
         if any(f' {name} ' in fault for fault in outcome.faults):
@@ -91,11 +91,11 @@
         for item in record.attempts
     )
     served = count_served_late(outcome)
-    not_paused = [life for life in record.starts if not life.paused]
+    not_paused = [start for start in record.starts if not start.paused]
     times = [
-        life.exited - life.signalled
-        for life in not_paused
-        if life.exited and life.signalled
+        start.exited - start.signalled
+        for start in not_paused
+        if start.exited and start.signalled
     ]
     return (
         f'seed {outcome.case.seed}: {len(outcome.faults)} broken rules, stops'
--- a/tests/nocover/test_limit_soak.py
+++ b/tests/nocover/test_limit_soak.py
@@ -21,7 +21,7 @@
 requests from routers that were not paused recently, whether or not they had
 received an answer with the limit.
 
-To run more seeds by hand; the exit code is 1 if a rule was violated::
+To run more seeds by hand; the exit code is 1 if a rule was broken::
 
     python -m tests.nocover.test_limit_soak --seeds 20
 """
--- a/tests/nocover/test_restore_soak.py
+++ b/tests/nocover/test_restore_soak.py
@@ -24,10 +24,10 @@
 - an upstream receives no request from two seconds after it began to drain or
   was removed.
 
-After a disturbance of the store or the router, the bounds of one and two
-seconds start again three seconds later.
+After a disturbance of the store or the router, the time limits of one
+and two seconds start again three seconds later.
 
-To run more seeds; the exit code is 1 if a rule was broken::
+To run more seeds by hand; the exit code is 1 if a rule was broken::
 
     python -m tests.nocover.test_restore_soak --seeds 20
 """
--- a/tests/support/crash_soak.py
+++ b/tests/support/crash_soak.py
@@ -72,7 +72,7 @@
 
     @property
     def faults(self) -> list[str]:
-        """Return a description of each violated rule."""
+        """Return a description of each violation of a rule."""
         found = [
             f'{body!r} reached {count} upstreams too late'
             for body, count in self.late.items()
@@ -120,7 +120,7 @@
         return RecordingUpstream(name, self._store, self._get_source(name))
 
     def list_coroutines(self) -> list[Coroutine[None, None, None]]:
-        """Return the load of the callers and the injected faults."""
+        """Return the coroutines of callers and fault injection."""
         return [
             *(self._send_fatal(body) for body in FATAL_BODIES),
             *(self._send_harmless(number) for number in range(CALLERS)),
@@ -152,13 +152,13 @@
         source = self._get_source(f'caller {number}')
         outcome = self._outcome
         while not self._done.is_set():
-            own = b'own %d' % source.getrandbits(32)
-            sent = source.choice((*POPULAR, own))
-            status, body = await self._call(source, sent)
+            unique = b'own %d' % source.getrandbits(32)
+            request_body = source.choice((*POPULAR, unique))
+            status, body = await self._call(source, request_body)
             outcome.harmless += 1
             outcome.served += status == 200
             if HELD in body:
-                times = outcome.false_holds.setdefault(sent, [])
+                times = outcome.false_holds.setdefault(request_body, [])
                 times.append(time.monotonic())
             await sleep(self._done, source.uniform(0.0, 0.1))
 
--- a/tests/support/limit_soak.py
+++ b/tests/support/limit_soak.py
@@ -106,7 +106,7 @@
         return LimitedUpstream(name, self._store, self._get_source(name))
 
     def list_coroutines(self) -> list[Coroutine[None, None, None]]:
-        """Return the tasks of callers and of fault injection."""
+        """Return the coroutines of callers and fault injection."""
         return [
             *(self._call(number) for number in range(CALLERS)),
             *(self._vary_limits(upstream) for upstream in self._upstreams),
@@ -145,17 +145,17 @@
             await sleep(self._done, source.uniform(1.5, 5.0))
             router = source.choice(self._routers)
             if source.random() < 0.5:
-                self._note_disturbed(router)
+                self._record_disturbance(router)
                 router.signal(signal.SIGSTOP)
                 await sleep(self._done, source.uniform(0.2, 1.5))
                 router.signal(signal.SIGCONT)
-                self._note_disturbed(router)
+                self._record_disturbance(router)
                 continue
             router.kill()
             await sleep(self._done, source.uniform(0.0, 0.5))
             await router.start()
 
-    def _note_disturbed(self, router: SoakRouter) -> None:
+    def _record_disturbance(self, router: SoakRouter) -> None:
         self._disturbed_at[router.current_start.name] = time.monotonic()
 
     async def _restart_upstreams(self) -> None:
@@ -224,5 +224,5 @@
 
 
 async def run_seed(seed: int) -> LimitOutcome:
-    """Run one seed."""
+    """Run one seed and return its outcome."""
     return await run_soak(LimitSoak, seed)
--- a/tests/support/restore_soak.py
+++ b/tests/support/restore_soak.py
@@ -48,7 +48,8 @@
 DRAIN_SECONDS = 2.0
 REVOKE_SECONDS = 5.0
 READY_SECONDS = 1.0
-# A limit restarts this long after a disturbance of the store or a router.
+# A time limit starts again this long after a disturbance of the store or a
+# router.
 RECOVERY_SECONDS = 3.0
 # After this a restored entry of a stopped upstream is removed.
 ENTRY_EXPIRY_SECONDS = 3.6
@@ -158,7 +159,10 @@
 
     def __init__(self, seed: int, folder: pathlib.Path) -> None:
         super().__init__(seed, folder)
+        # Which start of a router each request was sent to.
         self._starts_by_request: dict[str, str] = {}
+        # When each start of a router became ready after a kill, or was last
+        # paused or resumed.
         self._disturbed_at: dict[str, float] = {}
         self._versions: list[Version] = []
         self._outages: list[Outage] = []
@@ -182,7 +186,7 @@
         return RestartingUpstream(name, self._store, self._get_source(name))
 
     def list_coroutines(self) -> list[Coroutine[None, None, None]]:
-        """Return the coroutines of callers, upstreams, operator and faults."""
+        """Return the coroutines of all participants and fault injection."""
         return [
             *(self._call(number) for number in range(CALLERS)),
             # One upstream never leaves, so that calls can always be served.
--- a/tests/support/soak_records.py
+++ b/tests/support/soak_records.py
@@ -44,11 +44,11 @@
     """One run of a router process; times are monotonic seconds.
 
     :ivar ready: when its readiness endpoint first answered 200.
-    :ivar signalled: when the driver sent SIGTERM.
+    :ivar signalled: when the soak sent SIGTERM.
     :ivar announced: when its readiness endpoint first answered 503 after that.
-    :ivar paused: whether the driver paused it after that. Most rules do not
+    :ivar paused: whether the soak paused it after that. Most rules do not
         apply then, since a paused router can't meet its time limits.
-    :ivar killed: whether the driver killed it, as it did not exit in time.
+    :ivar killed: whether the soak killed it, as it did not exit in time.
     """
 
     name: str
@@ -112,7 +112,7 @@
     :ivar grace: grace period of the routers in seconds.
     :ivar runs: how often upstreams ran each attempt, by its id.
     :ivar arrivals: how often each attempt reached an upstream, by its id.
-    :ivar events: log of the driver's actions, with monotonic times.
+    :ivar events: log of the soak's actions, with monotonic times.
     """
 
     grace: float
@@ -127,5 +127,5 @@
     events: list[str] = dataclasses.field(default_factory=list)
 
     def log_event(self, event: str) -> None:
-        """Add an action of the driver to the log."""
+        """Add an action of the soak to the log."""
         self.events.append(f'{time.monotonic():.3f} {event}')
--- a/tests/support/soak_rules.py
+++ b/tests/support/soak_rules.py
@@ -106,7 +106,7 @@
 
 
 def _check_result(record: Record, attempt: Attempt) -> str:
-    """Check an attempt that was not served by a router that was not paused."""
+    """Check an attempt that failed at a router that was not paused."""
     start = attempt.router_start
     if start.paused or attempt.served or attempt.refused:
         return ''
--- a/tests/support/stop_soak.py
+++ b/tests/support/stop_soak.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Soak of planned stops with callers, stand-ins and a faulty store."""
+"""Soak of planned stops with stand-in upstreams and a faulty store."""
 
 import asyncio
 import dataclasses
@@ -84,7 +84,7 @@
     ]
 
 
-def choose_wish(source: random.Random, limit: float) -> SoakRequest:
+def choose_request(source: random.Random, limit: float) -> SoakRequest:
     """Return the next request of a caller."""
     route = source.choice(('safe', 'once', 'late', 'text', 'text', 'essay'))
     if route in ('safe', 'once'):
@@ -96,8 +96,8 @@
     events = source.randint(1, 40)
     pause = source.choice((0.002, 0.01, 0.05, 0.12))
     has_deadline = source.random() < 0.3
-    wait = events * pause * 1.5 + 0.3 if has_deadline else 0.0
-    return SoakRequest(route, limit, events, pause, wait)
+    deadline = events * pause * 1.5 + 0.3 if has_deadline else 0.0
+    return SoakRequest(route, limit, events, pause, deadline)
 
 
 class StopSoak:
@@ -166,14 +166,16 @@
         await asyncio.gather(*(router.start() for router in self._routers))
 
     async def _run_traffic(self) -> None:
-        series = self._get_source('series').random() < 0.4
-        semaphore = asyncio.Semaphore(1 if series else len(self._routers))
+        sequential = self._get_source('series').random() < 0.4
+        semaphore = asyncio.Semaphore(1 if sequential else len(self._routers))
         async with asyncio.TaskGroup() as tasks:
             tasks.create_task(self._disturb_store())
             for number in range(CALLERS):
                 tasks.create_task(self._send(f'c{number}'))
             stops = [
-                self._restart_repeatedly(router, 1 if series else 2, semaphore)
+                self._restart_repeatedly(
+                    router, 1 if sequential else 2, semaphore
+                )
                 for router in self._routers
             ]
             await asyncio.gather(*stops)
@@ -202,7 +204,7 @@
         number = 0
         while not self._done.is_set():
             number += 1
-            await caller.call(number, choose_wish(source, limit))
+            await caller.call(number, choose_request(source, limit))
             await asyncio.sleep(source.uniform(0.0, 0.05))
         caller.close()
 
