--- a/src/lifttrestle/internal/telemetry/event_sink.py
+++ b/src/lifttrestle/internal/telemetry/event_sink.py
@@ -142,7 +142,8 @@
     stream: TextIO, clock: Clock, vm: str, level: str
 ) -> EventSink:
     """Write the package's events of at least ``level`` to a stream."""
-    # No line contains these; logProcesses costs a system call per record.
+    # Lines contain none of these attributes; logProcesses costs a system call
+    # per record.
     logging.logProcesses = False
     logging.logThreads = False
     logging.logMultiprocessing = False
--- a/src/lifttrestle/internal/telemetry/explanation.py
+++ b/src/lifttrestle/internal/telemetry/explanation.py
@@ -23,19 +23,19 @@
 from lifttrestle.internal.telemetry.log_lines import read_logs
 from lifttrestle.internal.telemetry.log_lines import REQUEST_PREFIX
 
-# Events on the state of a router explain a request if they are from this long
+# Events about the state of a router are relevant to a request from this long
 # before its arrival until this long after its end.
 CONTEXT_BEFORE = datetime.timedelta(seconds=5)
 CONTEXT_AFTER = datetime.timedelta(seconds=1)
 # Events about the state that a router knows.
 STATE_EVENTS = ('view.', 'watch.', 'weights.', 'roster.', 'router.', 'log.')
-# Relevant if they are about an upstream that was chosen.
+# Events about an upstream, relevant only if the request chose it.
 UPSTREAM_EVENTS = 'upstream.'
-# They name the start of an upstream. A limit may be much older than the
-# request that it explains.
+# Events about the limit of one start of an upstream, relevant at any age: a
+# limit may be much older than the request that it explains.
 LIMIT_EVENTS = 'limit.'
-# They identify a request by its digest, so that they may come from another
-# attempt at it, and they may be as old as the hold that they report.
+# Events about the digest of a request, relevant at any age: they may come from
+# another request with that digest, and be as old as its hold.
 DIGEST_EVENTS = ('crash.', 'hold.')
 # Fields of each line that the timeline does not repeat.
 OMITTED_FIELDS = ('at', 'vm', 'level', 'event', 'request', 'after_ms')
@@ -50,7 +50,7 @@
     """The events of a request and the state that explains them.
 
     :ivar steps: events of the request, by router and time.
-    :ivar beliefs: events on the state of its routers that may explain it.
+    :ivar beliefs: events about the state of its routers that may explain it.
     :ivar broken: number of lines that could not be parsed.
     """
 
@@ -100,7 +100,7 @@
         timeline.sort(key=lambda item: item[0])
         rows.extend(_render_row(after, line) for after, line in timeline)
     if explanation.broken:
-        rows.append(f'{explanation.broken} broken lines were passed over')
+        rows.append(f'{explanation.broken} broken lines were skipped')
     return '\n'.join(rows)
 
 
--- a/src/lifttrestle/internal/telemetry/fleet_metrics.py
+++ b/src/lifttrestle/internal/telemetry/fleet_metrics.py
@@ -72,7 +72,7 @@
             'permits', 'Questions for a permit to send.', ('result',)
         )
         self._over_cap_workspaces: set[str] = set()
-        self._seconds = self._make_histogram(
+        self._request_seconds = self._make_histogram(
             'request_seconds', 'From the head of a request to its end.'
         )
         self._first_byte = self._make_histogram(
@@ -89,7 +89,7 @@
     ) -> None:
         """Count a request that ended, and record its duration."""
         self._requests.labels(service, outcome).inc()
-        self._seconds.labels(service).observe(seconds)
+        self._request_seconds.labels(service).observe(seconds)
 
     def count_attempt(self, service: str, result: str) -> None:
         """Count an attempt by its result."""
--- a/src/lifttrestle/internal/telemetry/line_output.py
+++ b/src/lifttrestle/internal/telemetry/line_output.py
@@ -26,8 +26,8 @@
 class LineOutput:
     """Buffers lines and writes them without blocking on a stalled reader.
 
-    It uses no thread: each line woke a writer thread, and passing the
-    interpreter lock to it took about ten system calls per request.
+    It uses no writer thread: waking one for each line, and passing the
+    interpreter lock to it, takes about ten system calls per request.
 
     :ivar dropped: lines that were dropped, until the owner resets it.
     """
--- a/src/lifttrestle/internal/telemetry/losses.py
+++ b/src/lifttrestle/internal/telemetry/losses.py
@@ -125,14 +125,14 @@
     for window in losses.windows:
         seconds = window.after.total_seconds()
         counts = ''.join(f'{window.counts[outcome]:>9}' for outcome in Outcome)
-        worst = ', '.join(
+        frequent = ', '.join(
             f'{cause} {count}' for cause, count in window.causes[:3]
         )
-        rows.append(f'{seconds:>9.1f} {counts}  {worst}'.rstrip())
+        rows.append(f'{seconds:>9.1f} {counts}  {frequent}'.rstrip())
     rows.append('')
     rows.extend(f'{count:>6}  {cause}' for cause, count in losses.causes)
     if losses.broken:
-        rows.append(f'{losses.broken} broken lines were passed over')
+        rows.append(f'{losses.broken} broken lines were skipped')
     return '\n'.join(rows)
 
 
@@ -183,10 +183,10 @@
 
 
 def _find_outcome(steps: dict[str, Line], last: Line) -> Outcome:
-    ended = str(last.fields.get('outcome', ''))
-    if ended == COMPLETE:
+    result = str(last.fields.get('outcome', ''))
+    if result == COMPLETE:
         return Outcome.LATE if _is_late(steps, last) else Outcome.IN_TIME
-    if ended.startswith(CALLER_GONE):
+    if result.startswith(CALLER_GONE):
         return Outcome.LEFT
     refused = steps.get('refused')
     if refused is not None and refused.fields.get('ran') == 'not run':
@@ -205,15 +205,15 @@
 
 
 def _exceeds(
-    last: Line, name: str, steps: dict[str, Line], bound: str
+    last: Line, value_field: str, steps: dict[str, Line], target_field: str
 ) -> bool:
     """Return whether a value exceeds a target logged at admission."""
     admitted = steps.get('admitted')
-    limit = admitted.fields.get(bound) if admitted else None
-    value = last.fields.get(name)
-    if limit is None or value is None:
+    target = admitted.fields.get(target_field) if admitted else None
+    value = last.fields.get(value_field)
+    if target is None or value is None:
         return False
-    return float(value) > float(limit)
+    return float(value) > float(target)
 
 
 def _is_late_by_pause_only(steps: dict[str, Line], last: Line) -> bool:
@@ -245,7 +245,7 @@
     return last.fields.get('outcome') == CUT
 
 
-def _describe_attempt(steps: dict[str, Line], last: Line) -> str:
+def _describe_failed_attempt(steps: dict[str, Line], last: Line) -> str:
     return f'an attempt ended with {steps["attempt_failed"].fields["kind"]}'
 
 
@@ -264,7 +264,7 @@
 # Causes that a request was lost or late, the most specific first.
 CAUSES: tuple[Rule, ...] = (
     (_was_cut, lambda steps, last: 'its router stopped'),
-    (_has_step('attempt_failed'), _describe_attempt),
+    (_has_step('attempt_failed'), _describe_failed_attempt),
     (
         _has_step('out_of_time'),
         lambda steps, last: 'the upstream did not answer',
--- a/tests/cover/test_losses.py
+++ b/tests/cover/test_losses.py
@@ -109,7 +109,7 @@
             code = main(['losses', *arguments, str(self.log)])
         return code, out.getvalue(), err.getvalue()
 
-    def test_each_cause_is_told(self):
+    def test_each_cause_is_reported(self):
         code, out, _ = self.run_command('--json')
         content = json.loads(out)
         self.assertEqual(code, 0)
@@ -130,24 +130,24 @@
             ],
         )
 
-    def test_table_names_the_worst_causes(self):
+    def test_table_names_the_most_frequent_causes(self):
         _, out, _ = self.run_command()
         self.assertIn('refused: overloaded 1', out)
-        self.assertIn('1 broken lines were passed over', out)
+        self.assertIn('1 broken lines were skipped', out)
 
-    def test_picture_is_drawn(self):
+    def test_picture_is_written_as_png(self):
         target = self.folder / 'losses.png'
         code, _, _ = self.run_command('--picture', str(target))
         self.assertEqual(code, 0)
         self.assertTrue(target.read_bytes().startswith(b'\x89PNG'))
 
-    def test_logs_without_requests_are_told(self):
+    def test_logs_without_requests_are_reported(self):
         self.log.write_text('other')
         code, _, err = self.run_command()
         self.assertEqual(code, 1)
         self.assertIn('give the logs of fleet routers', err)
 
-    def test_unreadable_log_and_bad_span_are_told(self):
+    def test_unreadable_log_and_invalid_window_are_reported(self):
         self.log.unlink()
         code, _, err = self.run_command()
         self.assertEqual(code, 2)
