--- a/tests/cover/test_byte_stream.py
+++ b/tests/cover/test_byte_stream.py
@@ -42,18 +42,22 @@
 def read_options(stream):
     sock = stream._transport.get_extra_info('socket')
 
-    def get(option):
+    def read_option(option):
         return sock.getsockopt(socket.IPPROTO_TCP, option)
 
-    alive = sock.getsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE)
-    probes_seconds = get(socket.TCP_KEEPIDLE) + get(
+    keepalive = sock.getsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE)
+    probes_seconds = read_option(socket.TCP_KEEPIDLE) + read_option(
         socket.TCP_KEEPINTVL
-    ) * get(socket.TCP_KEEPCNT)
-    return bool(alive), probes_seconds, get(socket.TCP_USER_TIMEOUT)
+    ) * read_option(socket.TCP_KEEPCNT)
+    return (
+        bool(keepalive),
+        probes_seconds,
+        read_option(socket.TCP_USER_TIMEOUT),
+    )
 
 
-class TestSilence(unittest.IsolatedAsyncioTestCase):
-    async def test_regression_silent_connection_without_traffic_is_broken(
+class TestTcpTimeouts(unittest.IsolatedAsyncioTestCase):
+    async def test_regression_idle_connection_has_tcp_keepalive(
         self,
     ):
         # Without keepalive, only unacknowledged bytes closed a connection. If
@@ -62,8 +66,10 @@
         server, *streams = await open_pair()
         try:
             for stream in streams:
-                alive, probes_seconds, user_timeout_ms = read_options(stream)
-                self.assertTrue(alive)
+                keepalive, probes_seconds, user_timeout_ms = read_options(
+                    stream
+                )
+                self.assertTrue(keepalive)
                 self.assertEqual(user_timeout_ms, USER_TIMEOUT_MS)
                 self.assertLessEqual(
                     probes_seconds * MILLISECONDS, USER_TIMEOUT_MS
--- a/tests/cover/test_event_log.py
+++ b/tests/cover/test_event_log.py
@@ -122,9 +122,9 @@
         lines = self.read(stream)
         (summary,) = [x for x in lines if x['event'] == 'log.left_out']
         self.assertEqual(summary['over_rate'], {'busy.kind': EXCESS})
-        kinds = [line['event'] for line in lines]
-        self.assertEqual(kinds.count('busy.kind'), BURST)
-        self.assertEqual(kinds.count('other.kind'), 2)
+        names = [line['event'] for line in lines]
+        self.assertEqual(names.count('busy.kind'), BURST)
+        self.assertEqual(names.count('other.kind'), 2)
 
     def test_failed_request_keeps_all_events_above_the_rate(self):
         stream = self.open_stream()
@@ -197,12 +197,12 @@
         expected = ''.join(f'{text}\n' for text in texts).encode()
         self.assertEqual(self.read_all(), expected)
 
-    def test_line_longer_than_the_pipe_makes_no_one_wait(self):
+    def test_line_longer_than_the_pipe_buffer_does_not_block(self):
         self.output.put('x' * 1_000_000)
         self.output.flush()
         self.assertEqual(self.read_all(), b'x' * 1_000_000 + b'\n')
 
-    def test_lines_for_a_reader_that_is_gone_are_counted(self):
+    def test_lines_after_the_reader_closed_count_as_dropped(self):
         os.close(self.reading)
         for _ in range(3):
             self.output.put('x' * 3000)
@@ -211,7 +211,7 @@
         self.reading, writing = os.pipe()
         os.close(writing)
 
-    def test_part_of_a_chunk_that_was_not_taken_follows(self):
+    def test_rest_of_a_partially_written_chunk_is_written_next(self):
         real = os.write
         with mock.patch('os.write', lambda fd, data: real(fd, data[:7])):
             self.output.put('abcdefghijkl')
--- a/tests/cover/test_explain.py
+++ b/tests/cover/test_explain.py
@@ -84,7 +84,7 @@
                 code = main(['explain', *arguments])
         return code, out.getvalue(), err.getvalue()
 
-    def test_timeline_has_the_steps_and_the_beliefs_that_matter(self):
+    def test_timeline_has_the_steps_and_only_relevant_state_events(self):
         code, out, _ = self.run_command('r1', str(self.log))
         self.assertEqual(code, 0)
         rows = out.splitlines()
@@ -103,24 +103,24 @@
         code, out, _ = self.run_command('r1', str(self.log))
         self.assertEqual((code, 'sent' in out), (0, True))
 
-    def test_json_is_for_programs(self):
+    def test_json_has_the_steps_and_the_number_of_broken_lines(self):
         _, out, _ = self.run_command('r1', str(self.log), '--json')
         explanation = json.loads(out)
         self.assertEqual(len(explanation['steps']), 2)
         self.assertEqual(explanation['broken'], 1)
 
-    def test_unknown_request_says_what_was_read(self):
+    def test_unknown_request_reports_the_number_of_events_read(self):
         code, _, err = self.run_command('r9', str(self.log))
         self.assertEqual(code, 1)
         self.assertIn("'r9'", err)
         self.assertIn('7 events', err)
 
-    def test_file_that_is_not_there(self):
+    def test_missing_file_is_reported(self):
         code, _, err = self.run_command('r1', '/no/such.log')
         self.assertEqual(code, 2)
         self.assertIn('/no/such.log', err)
 
-    def test_held_request_is_explained_by_what_its_tries_did_before(self):
+    def test_held_request_is_explained_by_crashes_of_earlier_attempts(self):
         self.log.write_text('\n'.join(HELD_LINES))
         code, out, _ = self.run_command('r1', str(self.log))
         self.assertEqual(code, 0)
@@ -128,7 +128,7 @@
         self.assertEqual(events[:2], ['crash.noted', 'hold.begun'])
         self.assertEqual(out.count('hold.'), 1)
 
-    def test_request_sent_elsewhere_is_explained_by_a_limit(self):
+    def test_request_sent_to_another_upstream_is_explained_by_a_limit(self):
         self.log.write_text('\n'.join(LIMIT_LINES))
         code, out, _ = self.run_command('r1', str(self.log))
         self.assertEqual(code, 0)
--- a/tests/cover/test_http_server.py
+++ b/tests/cover/test_http_server.py
@@ -58,7 +58,9 @@
         self.assertEqual(len(body), ANSWER_BYTES)
         writer.close()
 
-    def test_regression_stop_while_a_connection_is_accepted(self) -> None:
+    def test_regression_cancelled_accept_is_not_reported_as_an_error(
+        self,
+    ) -> None:
         # If the task of a connection was cancelled before its first step, the
         # event loop reported this as an error, with a traceback.
         for steps in range(12):
@@ -153,7 +155,7 @@
                     writer.close()
                     await stopping
 
-    async def test_body_that_comes_after_the_order_to_stop_is_read(
+    async def test_body_that_arrives_during_the_stop_is_read(
         self,
     ) -> None:
         async def echo(
@@ -180,7 +182,9 @@
             writer.close()
             self.assertTrue(await stopping)
 
-    async def test_regression_request_sent_ahead_is_answered(self) -> None:
+    async def test_regression_pipelined_request_is_answered_during_the_stop(
+        self,
+    ) -> None:
         # An answer that starts before the stop is announced does not tell the
         # caller that the connection closes. The next request on it was read
         # and discarded.
@@ -214,7 +218,9 @@
             writer.close()
             self.assertTrue(await stopping)
 
-    async def test_stop_leaves_a_reader_that_was_paused(self) -> None:
+    async def test_stop_does_not_resume_a_connection_that_was_paused_before(
+        self,
+    ) -> None:
         # The stop resumes only the connections that it paused itself, not one
         # paused before, as when its caller has pipelined too many bytes.
         release = asyncio.Event()
--- a/tests/cover/test_node_settings.py
+++ b/tests/cover/test_node_settings.py
@@ -84,7 +84,7 @@
         self.assertEqual(code, 2)
         self.assertIn('(file)', out)
 
-    def test_file_is_read_only_when_it_has_changed(self):
+    def test_unchanged_file_is_not_parsed_again(self):
         self.path.write_text(VALID)
         file = SettingsFile(self.path, 0)
         self.assertIsNotNone(file.read_changed())
--- a/tests/cover/test_settings.py
+++ b/tests/cover/test_settings.py
@@ -92,7 +92,7 @@
         self.assertIsInstance(result, Failure)
         return result.failure()
 
-    def test_every_fault_at_once_with_its_line(self) -> None:
+    def test_all_faults_are_reported_with_their_lines(self) -> None:
         faults = self.find_faults(INVALID)
         found = {(fault.key, fault.line) for fault in faults}
         self.assertEqual(found, EXPECTED)
@@ -100,11 +100,11 @@
             self.assertTrue(fault.remedy)
             self.assertIn(fault.value, str(fault))
 
-    def test_file_that_is_not_toml(self) -> None:
+    def test_invalid_toml_is_reported(self) -> None:
         (fault,) = self.find_faults('[router\n')
         self.assertEqual(fault.key, '(file)')
 
-    def test_examples_are_good(self) -> None:
+    def test_examples_are_valid(self) -> None:
         paths = sorted((ROOT / 'examples').glob('*/*-1.toml'))
         self.assertEqual(len(paths), 4)
         for path in paths:
--- a/tests/cover/test_statsd_feed.py
+++ b/tests/cover/test_statsd_feed.py
@@ -45,7 +45,7 @@
         except BlockingIOError:
             return lines
 
-    def test_counters_are_sent_as_what_was_added(self):
+    def test_counters_are_sent_as_increases(self):
         self.metrics.count_attempt('grid-app', 'good')
         name = 'lifttrestle.attempts_total.grid-app.good'
         self.assertIn(f'{name}:1.0|c', self.read())
@@ -54,13 +54,13 @@
         self.assertIn(f'{name}:2.0|c', self.read())
         self.assertEqual(self.read(), [])
 
-    def test_gauges_are_sent_as_they_are(self):
+    def test_gauges_are_sent_as_values(self):
         self.metrics.add_gauge('live', 'Routers.', lambda: 8.0)
         name = 'lifttrestle.live'
         for _ in range(2):
             self.assertEqual(self.read(), [f'{name}:8.0|g'])
 
-    def test_label_can_not_forge_another_metric(self):
+    def test_label_cannot_inject_another_metric(self):
         self.metrics.count_attempt('a:1|c\nb', 'good')
         (line,) = self.read()
         self.assertEqual(line.count(':'), 1)
--- a/tests/engine/test_engine_standin.py
+++ b/tests/engine/test_engine_standin.py
@@ -60,7 +60,7 @@
         answer = await self.client.call('GET', '/metrics')
         self.assertIn(b'\nvllm:num_requests_running 0\n', answer.body)
 
-    async def test_continued_text_equals_the_unbroken_one(self) -> None:
+    async def test_continued_text_equals_the_uninterrupted_one(self) -> None:
         whole = await self.complete('a prompt ', 12)
         first = await self.complete('a prompt ', 5)
         rest = await self.complete('a prompt ' + first, 7)
@@ -80,7 +80,7 @@
 class TestCostModel(unittest.TestCase):
     """Replay's cache must match the stand-in's to within a block."""
 
-    def test_caches_agree_under_pressure(self) -> None:
+    def test_caches_agree_while_blocks_are_evicted(self) -> None:
         clock = ManualClock(START)
         standin = EngineCache(CAPACITY_BLOCKS, 1e9, clock)
         model = PrefixCache(CAPACITY_BLOCKS * BLOCK_TOKENS)
@@ -123,7 +123,7 @@
 
 
 class TestEngineCache(unittest.TestCase):
-    def test_unused_blocks_go_after_their_time(self) -> None:
+    def test_unused_blocks_expire(self) -> None:
         clock = ManualClock(START)
         cache = EngineCache(100, 5.0, clock)
         tokens = [str(item) for item in range(64)]
@@ -133,7 +133,7 @@
         clock.advance(6)
         self.assertEqual(cache.admit('salt', tokens), 0)
 
-    def test_salts_keep_prompts_apart(self) -> None:
+    def test_prompts_with_different_salts_share_no_blocks(self) -> None:
         cache = EngineCache(100, 5.0, ManualClock(START))
         tokens = [str(item) for item in range(64)]
         cache.admit('one', tokens)
--- a/tests/nocover/test_bad_input.py
+++ b/tests/nocover/test_bad_input.py
@@ -128,7 +128,7 @@
         data = b'GET /v1/models HTTP/1.1\r\nHost: a\r\n' + CLOSE + b'\r\n'
         self.check_refusal(data, 401, 'unauthorised')
 
-    def test_unknown_token_reveals_nothing(self) -> None:
+    def test_unknown_token_does_not_reveal_which_services_exist(self) -> None:
         answers = set()
         for path in (b'/v1/models', b'/grid-app/x', b'/no-such-service/x'):
             data = (
@@ -255,7 +255,7 @@
         )
         self.assertEqual(reply.json()['workspaces'], ['daily'])
 
-    def test_over_the_rate(self) -> None:
+    def test_request_over_the_rate_is_refused(self) -> None:
         statuses = []
         for _ in range(3):
             reply = request(self.address, 'GET', '/grid-app/x', 'slow-token')
@@ -264,7 +264,7 @@
         self.assertEqual(reply.error['ran'], 'not run')
         self.assertGreater(int(reply.headers['retry-after']), 0)
 
-    def test_over_the_rate_is_refused_before_the_body(self) -> None:
+    def test_request_over_the_rate_is_refused_before_its_body(self) -> None:
         for _ in range(3):
             request(self.address, 'GET', '/grid-app/x', 'slow-token')
         # The body is never sent, so the head alone must be answered.
--- a/tests/nocover/test_data_centres.py
+++ b/tests/nocover/test_data_centres.py
@@ -57,7 +57,9 @@
         )
         self.assertEqual(runs.json(), {})
 
-    def test_request_is_not_sent_outside_after_the_engine_ended(self) -> None:
+    def test_request_is_not_sent_outside_after_its_engine_is_killed(
+        self,
+    ) -> None:
         self.deployment.standins[f'engine-{INSIDE}-1'].kill()
         reply = request(
             self.address,
@@ -86,7 +88,9 @@
                 pass
         self.check_nothing_sent_outside()
 
-    def test_request_is_not_sent_outside_after_the_service_ended(self) -> None:
+    def test_request_is_not_sent_outside_after_its_service_is_killed(
+        self,
+    ) -> None:
         self.deployment.standins[f'grid-app-{INSIDE}-1'].kill()
         for method in ('GET', 'POST'):
             reply = request(
@@ -95,7 +99,9 @@
             self.assertIn(reply.status, (502, 503))
         self.check_nothing_sent_outside()
 
-    def test_right_withdrawn_while_waiting_is_enforced(self) -> None:
+    def test_queued_request_is_refused_after_its_model_is_withdrawn(
+        self,
+    ) -> None:
         # The first request takes the only slot; the second one waits for it.
         address = self.address
         body = {
--- a/tests/nocover/test_held_command.py
+++ b/tests/nocover/test_held_command.py
@@ -88,7 +88,7 @@
         self.assertEqual(code, 1)
         self.assertIn('is not held', text)
 
-    def test_invalid_row_hides_no_other(self):
+    def test_invalid_row_does_not_hide_the_others(self):
         self.store.rows.put(FLEET_TABLE, build_key(7), b'{')
         code, text = self.run_command()
         self.assertEqual(code, 0)
--- a/tests/nocover/test_limits_command.py
+++ b/tests/nocover/test_limits_command.py
@@ -84,7 +84,7 @@
             ],
         )
 
-    def test_unreachable_router_hides_no_other(self):
+    def test_unreachable_router_does_not_hide_the_others(self):
         code, text = self.run_command('127.0.0.1:1', str(self.address))
         self.assertEqual(code, 2)
         self.assertIn('see whether a router serves metrics', text)
