--- a/tests/cover/test_event_log.py
+++ b/tests/cover/test_event_log.py
@@ -109,7 +109,7 @@
         log.info('last')
         self.assertEqual(self.read(stream)[-1]['event'], 'last')
 
-    def test_what_is_over_the_rate_is_counted_by_kind(self):
+    def test_events_over_the_rate_are_counted_by_name(self):
         stream = self.open_stream()
         sink = self.open_sink(stream)
         log = get_event_log('x')
@@ -145,7 +145,7 @@
         expected = ['request.sent', 'request.refused', 'request.ended']
         self.assertEqual(events, expected)
 
-    def test_reader_that_stops_makes_no_one_wait(self):
+    def test_stalled_reader_does_not_block_logging(self):
         reading, writing = os.pipe()
         self.addCleanup(os.close, reading)
         stream = os.fdopen(writing, 'w')
