--- a/src/lifttrestle/internal/cli/fleet_router.py
+++ b/src/lifttrestle/internal/cli/fleet_router.py
@@ -132,9 +132,9 @@
         control_tasks.append(feed.run())
     succeeded = await process.run(*control_tasks)
     if feed is not None:
-        # Sends what has changed since the last feed, including the counts of
-        # the shutdown.
-        feed.feed()
+        # Sends the changes since the last transmission, including the counts
+        # of the shutdown.
+        feed.send_metrics()
     ignore_signals()
     return EXIT_OK if succeeded else EXIT_FAILED
 
--- a/src/lifttrestle/internal/telemetry/statsd_feed.py
+++ b/src/lifttrestle/internal/telemetry/statsd_feed.py
@@ -27,7 +27,7 @@
 from lifttrestle.internal.telemetry.metrics import Metrics
 
 # The usual flush interval of statsd servers.
-FEED_SECONDS = 10.0
+INTERVAL_SECONDS = 10.0
 # Samples of creation times and of histogram buckets.
 SKIPPED_SUFFIXES = ('_created', '_bucket')
 GAUGE = 'gauge'
@@ -52,17 +52,17 @@
     async def run(self) -> None:
         """Send changes periodically, until cancelled."""
         while True:
-            await self._clock.sleep(FEED_SECONDS)
-            self.feed()
+            await self._clock.sleep(INTERVAL_SECONDS)
+            self.send_metrics()
 
-    def feed(self) -> None:
+    def send_metrics(self) -> None:
         """Send the changes of counters and the values of all gauges."""
         for family in self._registry.collect():
             for sample in family.samples:
                 if not sample.name.endswith(SKIPPED_SUFFIXES):
-                    self._send(sample, family.type == GAUGE)
+                    self._send_sample(sample, family.type == GAUGE)
 
-    def _send(self, sample: samples.Sample, is_gauge: bool) -> None:
+    def _send_sample(self, sample: samples.Sample, is_gauge: bool) -> None:
         name = _format_name(sample)
         if is_gauge:
             self._metrics.gauge(name, sample.value)
--- a/tests/cover/test_statsd_feed.py
+++ b/tests/cover/test_statsd_feed.py
@@ -37,7 +37,7 @@
         )
 
     def read(self):
-        self.feed.feed()
+        self.feed.send_metrics()
         lines = []
         try:
             while True:
