--- a/src/lifttrestle/internal/cli/fleet_router.py
+++ b/src/lifttrestle/internal/cli/fleet_router.py
@@ -101,7 +101,7 @@
     from lifttrestle.internal.platform.request_dialect import PlatformDialect
     from lifttrestle.internal.platform.row_store import PlatformRowStore
     from lifttrestle.internal.platform.stored_format import PlatformFormat
-    from lifttrestle.internal.telemetry.metrics import Metrics
+    from lifttrestle.internal.telemetry.statsd_client import StatsdClient
     from lifttrestle.internal.telemetry.statsd_feed import StatsdFeed
 
     # Modules and classes live as long as the process, so that the garbage
@@ -128,7 +128,9 @@
     ]
     feed = None
     if options.statsd.host:
-        feed = StatsdFeed(process.registry, Metrics(options.statsd), clock)
+        feed = StatsdFeed(
+            process.registry, StatsdClient(options.statsd), clock
+        )
         control_tasks.append(feed.run())
     succeeded = await process.run(*control_tasks)
     if feed is not None:
--- a/src/lifttrestle/internal/router/parts.py
+++ b/src/lifttrestle/internal/router/parts.py
@@ -29,7 +29,7 @@
 from lifttrestle.internal.runrecord.ledger import RunLedger
 from lifttrestle.internal.settings.router import RouterSettings
 from lifttrestle.internal.telemetry.decisions import DecisionLog
-from lifttrestle.internal.telemetry.metrics import Metrics
+from lifttrestle.internal.telemetry.statsd_client import StatsdClient
 from lifttrestle.internal.upstream.driver import EngineDriver
 from lifttrestle.internal.upstream.registry import UpstreamRegistry
 
@@ -56,7 +56,7 @@
     budget: RetryBudget
     ledger: RunLedger
     decisions: DecisionLog
-    metrics: Metrics
+    metrics: StatsdClient
     background: BackgroundTasks
     stop: PlannedStop
     needed: RecentDurations
--- a/src/lifttrestle/internal/router/process.py
+++ b/src/lifttrestle/internal/router/process.py
@@ -58,7 +58,7 @@
 from lifttrestle.internal.store.http_table import HttpTable
 from lifttrestle.internal.store.http_vms import HttpVms
 from lifttrestle.internal.telemetry.decisions import DecisionLog
-from lifttrestle.internal.telemetry.metrics import Metrics
+from lifttrestle.internal.telemetry.statsd_client import StatsdClient
 from lifttrestle.internal.upstream.prober import Prober
 from lifttrestle.internal.upstream.registry import UpstreamRegistry
 from lifttrestle.internal.upstream.standard_driver import StandardDriver
@@ -135,7 +135,7 @@
 
     def _build_servers(self) -> None:
         settings = self._settings
-        metrics = Metrics(settings.statsd)
+        metrics = StatsdClient(settings.statsd)
         self._parts = RouterParts(
             settings=settings,
             clock=self._clock,
--- a/src/lifttrestle/internal/telemetry/metrics.py
+++ b/src/lifttrestle/internal/telemetry/statsd_client.py
@@ -19,7 +19,7 @@
 MILLISECONDS = 1000
 
 
-class Metrics:
+class StatsdClient:
     """Statsd client that does nothing without a configured server."""
 
     def __init__(self, settings: StatsdSection) -> None:
--- a/src/lifttrestle/internal/telemetry/statsd_feed.py
+++ b/src/lifttrestle/internal/telemetry/statsd_feed.py
@@ -24,7 +24,7 @@
 
 from lifttrestle.internal.clock.clock import Clock
 from lifttrestle.internal.telemetry.fleet_metrics import PREFIX
-from lifttrestle.internal.telemetry.metrics import Metrics
+from lifttrestle.internal.telemetry.statsd_client import StatsdClient
 
 # The usual flush interval of statsd servers.
 INTERVAL_SECONDS = 10.0
@@ -41,7 +41,7 @@
     def __init__(
         self,
         registry: prometheus_client.CollectorRegistry,
-        metrics: Metrics,
+        metrics: StatsdClient,
         clock: Clock,
     ) -> None:
         self._registry = registry
--- a/tests/cover/test_statsd_feed.py
+++ b/tests/cover/test_statsd_feed.py
@@ -18,7 +18,7 @@
 from lifttrestle.internal.clock.system import SystemClock
 from lifttrestle.internal.settings.sections import StatsdSection
 from lifttrestle.internal.telemetry.fleet_metrics import FleetMetrics
-from lifttrestle.internal.telemetry.metrics import Metrics
+from lifttrestle.internal.telemetry.statsd_client import StatsdClient
 from lifttrestle.internal.telemetry.statsd_feed import StatsdFeed
 
 
@@ -32,7 +32,7 @@
         self.metrics = FleetMetrics()
         self.feed = StatsdFeed(
             self.metrics.registry,
-            Metrics(StatsdSection(host=host, port=port)),
+            StatsdClient(StatsdSection(host=host, port=port)),
             SystemClock(),
         )
 
