--- a/src/lifttrestle/internal/telemetry/statsd_feed.py
+++ b/src/lifttrestle/internal/telemetry/statsd_feed.py
@@ -24,10 +24,10 @@
 
 from lifttrestle.internal.clock.clock import Clock
 from lifttrestle.internal.telemetry.fleet_metrics import PREFIX
-from lifttrestle.internal.telemetry.metrics import Metrics
+from lifttrestle.internal.telemetry.statsd_client import StatsdClient
 
 # The usual flush interval of statsd servers.
-FEED_SECONDS = 10.0
+INTERVAL_SECONDS = 10.0
 # Samples of creation times and of histogram buckets.
 SKIPPED_SUFFIXES = ('_created', '_bucket')
 GAUGE = 'gauge'
@@ -41,7 +41,7 @@
     def __init__(
         self,
         registry: prometheus_client.CollectorRegistry,
-        metrics: Metrics,
+        metrics: StatsdClient,
         clock: Clock,
     ) -> None:
         self._registry = registry
@@ -52,17 +52,17 @@
     async def run(self) -> None:
         """Send changes periodically, until cancelled."""
         while True:
-            await self._clock.sleep(FEED_SECONDS)
-            self.feed()
+            await self._clock.sleep(INTERVAL_SECONDS)
+            self.send_metrics()
 
-    def feed(self) -> None:
+    def send_metrics(self) -> None:
         """Send the changes of counters and the values of all gauges."""
         for family in self._registry.collect():
             for sample in family.samples:
                 if not sample.name.endswith(SKIPPED_SUFFIXES):
-                    self._send(sample, family.type == GAUGE)
+                    self._send_sample(sample, family.type == GAUGE)
 
-    def _send(self, sample: samples.Sample, is_gauge: bool) -> None:
+    def _send_sample(self, sample: samples.Sample, is_gauge: bool) -> None:
         name = _format_name(sample)
         if is_gauge:
             self._metrics.gauge(name, sample.value)
