--- a/src/lifttrestle/internal/fleet/state/relay_follower.py
+++ b/src/lifttrestle/internal/fleet/state/relay_follower.py
@@ -51,8 +51,9 @@
 # The number of relays that a router follows.
 RELAYS_PER_FOLLOWER = 2
 # Relays confirm the operator's table every 0.7 s. Without a confirmation for
-# this long they are considered failed. A change must be in force within 2 s.
-SILENT_SECONDS = 1.1
+# this long the router reads the store itself, as a change must be in force
+# within 2 s.
+CONFIRMATION_TIMEOUT_SECONDS = 1.1
 POLL_SECONDS = 0.2
 # A starting router requests the tables from relays, and reads them itself if
 # it receives nothing for this long. When each router read each table and sent
@@ -93,13 +94,13 @@
         """Follow relays, and read the store directly while none works."""
         started_at = self._clock.monotonic()
         self._last_confirmed_at = (
-            started_at - SILENT_SECONDS + START_TIMEOUT_SECONDS
+            started_at - CONFIRMATION_TIMEOUT_SECONDS + START_TIMEOUT_SECONDS
         )
         try:
             while True:
                 self._update_connections()
                 self._choose_source()
-                await ticker.wait(self._get_pause(started_at))
+                await ticker.wait(self._get_poll_interval(started_at))
         finally:
             for task in self._connections.values():
                 task.cancel()
@@ -107,7 +108,7 @@
                 *self._connections.values(), return_exceptions=True
             )
 
-    def _get_pause(self, started_at: float) -> float:
+    def _get_poll_interval(self, started_at: float) -> float:
         """Return the polling interval, which is shorter during the start."""
         since = self._clock.monotonic() - started_at
         if self._primary_watch.copy.loaded or since > START_TIMEOUT_SECONDS:
@@ -120,7 +121,7 @@
         return self._reads_directly
 
     def is_relay(self) -> bool:
-        """Return whether this router is one of those that read the store."""
+        """Return whether this router is selected as a relay."""
         return self._roster.key in self._list_relays()
 
     def _list_relays(self) -> list[str]:
@@ -216,7 +217,8 @@
     ) -> None:
         """Apply an update.
 
-        Its time is relative to the time at which the request was sent.
+        The time as of which it is current is relative to the time at which
+        this router sent the request.
 
         :raises InputRefused: if it claims to be current as of a future time.
         """
@@ -232,21 +234,23 @@
                 f'an update as of {message.as_of_offset} s after the request'
                 ' is in the future',
             )
-        previous_proved_at = watch.current_as_of
+        previous_as_of = watch.current_as_of
         watch.apply_relayed(
             read_update(message), current_as_of, message.after_outage
         )
         # An update that confirms nothing must not delay reading the store.
         if (
             watch is self._primary_watch
-            and watch.current_as_of > previous_proved_at
+            and watch.current_as_of > previous_as_of
         ):
             self._last_confirmed_at = self._clock.monotonic()
 
     def _choose_source(self) -> None:
         now = self._clock.monotonic()
-        silent = now - self._last_confirmed_at > SILENT_SECONDS
-        directly = silent or (self._roster.loaded and self.is_relay())
+        unconfirmed = (
+            now - self._last_confirmed_at > CONFIRMATION_TIMEOUT_SECONDS
+        )
+        directly = unconfirmed or (self._roster.loaded and self.is_relay())
         for watch in self._watches.values():
             watch.set_direct_reads(directly)
         if directly is not self._reads_directly:
--- a/src/lifttrestle/internal/fleet/state/relay_messages.py
+++ b/src/lifttrestle/internal/fleet/state/relay_messages.py
@@ -49,14 +49,14 @@
 class TableUpdate(msgspec.Struct, frozen=True, array_like=True):
     """The changes since the last update on this connection.
 
-    It is sent without rows, too, as it confirms that the table is current.
+    It is also sent without rows, to confirm that the table is current.
 
-    :ivar request: the number of the request that it answers.
+    :ivar request: the number of the request that caused it.
     :ivar as_of_offset: seconds from the arrival of the request to the time
         as of which the table is current; negative if that was earlier. The
         receiver adds it to the time at which it *sent* the request, which is
         not later than the arrival, so it never assumes a later time.
-    :ivar after_outage: the store was unavailable before this was read.
+    :ivar after_outage: the store was unavailable before the relay read this.
     :ivar is_snapshot: ``rows`` holds all rows of the table; others do not
         exist.
     """
--- a/src/lifttrestle/internal/fleet/state/relay_server.py
+++ b/src/lifttrestle/internal/fleet/state/relay_server.py
@@ -42,7 +42,7 @@
     """A connected router that receives updates.
 
     :ivar request: its last request, or None before the first.
-    :ivar requested_at: when that arrived, by this router's clock.
+    :ivar requested_at: when that request arrived, by this router's clock.
     :ivar versions: the newest version of each table that it has or was sent.
     """
 
