--- a/src/lifttrestle/internal/fleet/state/restore_policy.py
+++ b/src/lifttrestle/internal/fleet/state/restore_policy.py
@@ -12,8 +12,9 @@
 
 """Which held rows stay in force when the store is restored from an older copy.
 
-The restored copy lacks the writes and removals of the last seconds. Their
-writers repeat them, and until then:
+Held rows are those in this router's copy of the table. The restored store
+lacks the writes and removals of the last seconds. Their writers repeat them;
+until then:
 
 | row | in force | until |
 | --- | --- | --- |
@@ -43,6 +44,7 @@
     def keeps(self, held: VersionedRow, restored: VersionedRow | None) -> bool:
         """Return whether the held row is kept in place of the restored one.
 
+        :param held: the row in this router's copy of the table.
         :param restored: the row in the restored store, None if it has none.
         """
 
@@ -62,18 +64,18 @@
         self._format = stored_format
 
     def keeps(self, held: VersionedRow, restored: VersionedRow | None) -> bool:
-        """Return whether the held row has the higher version or the only one.
+        """Return whether the held version is higher or no row is restored.
 
         A restored row replaces a held row whose version is unreadable.
         """
         if restored is None:
             return True
-        known = self._read_version(held)
+        known = self._decode_version(held)
         return known is not None and known > (
-            self._read_version(restored) or 0
+            self._decode_version(restored) or 0
         )
 
-    def _read_version(self, row: VersionedRow) -> int | None:
+    def _decode_version(self, row: VersionedRow) -> int | None:
         """Return the operator's version in the value, None if unreadable."""
         assert row.value is not None, 'a row in a table has a value'
         try:
@@ -101,7 +103,10 @@
         self.withhold_seconds = expiry_seconds
 
     def keeps(self, held: VersionedRow, restored: VersionedRow | None) -> bool:
-        """Return whether only the held entry of the same start is draining."""
+        """Return whether the held entry is draining and the restored is not.
+
+        Both entries must be of the same start.
+        """
         if restored is None:
             return False
         assert held.value is not None and restored.value is not None
--- a/src/lifttrestle/internal/fleet/state/rows.py
+++ b/src/lifttrestle/internal/fleet/state/rows.py
@@ -27,8 +27,9 @@
 
     # The row was written or removed.
     WRITTEN = enum.auto()
-    # The row is in force after the store was restored: in the older copy,
-    # written before the table was read again, or kept by the restore policy.
+    # The row is in force after the store was restored: it was in the older
+    # copy, was written between the restore and the next read of the table, or
+    # is kept by the restore policy.
     RESTORED = enum.auto()
     # The restored store lacks the row, and no removal of it is known.
     LOST = enum.auto()
--- a/src/lifttrestle/internal/fleet/state/table_copy.py
+++ b/src/lifttrestle/internal/fleet/state/table_copy.py
@@ -195,29 +195,27 @@
     def apply_changes(self, changes: RowChanges, current_as_of: float) -> None:
         """Apply changes since the version of the copy or an earlier one.
 
-        Several sources report the same changes, and some do so late: a row
-        that is not newer than the copy is included in it, or was removed
-        since.
+        The store and several relays report the same changes, and some do so
+        late. A row that is not newer than the copy is ignored: the copy
+        includes it, or it was removed since.
         """
-        held = self.version
+        previous_version = self.version
         for row in (*changes.rows, *self._list_expired_withheld(changes)):
-            if row.version <= held:
+            if row.version <= previous_version:
                 continue
-            # Logged even if this copy does not change: a follower may hold
-            # the row.
-            self._log_change(row)
+            # Recorded even if this copy does not change: a follower may
+            # hold the row.
+            self._record_change(row)
             known = self._rows.get(row.key)
             if known is not None and known.version >= row.version:
                 continue
-            self._store_row(row, known)
+            self._set_row(row, known)
             if row.value is not None or known is not None:
                 self._listener(row)
         self.version = max(self.version, changes.version)
         self.current_as_of = max(self.current_as_of, current_as_of)
 
-    def _store_row(
-        self, row: VersionedRow, known: VersionedRow | None
-    ) -> None:
+    def _set_row(self, row: VersionedRow, known: VersionedRow | None) -> None:
         self._withheld.pop(row.key, None)
         if row.value is not None:
             self._rows[row.key] = row
@@ -244,9 +242,9 @@
     def _list_expired_withheld(
         self, changes: RowChanges
     ) -> list[VersionedRow]:
-        """Return the withheld rows to accept, except those being changed.
+        """Return the withheld rows to accept now, except those in ``changes``.
 
-        These have been neither written nor removed since the restore.
+        They have been neither written nor removed since the restore.
         """
         if not self._withheld or changes.version <= self.version:
             return []
@@ -261,7 +259,10 @@
         ]
 
     def list_since(self, version: int) -> CopyUpdate:
-        """Return the changes after a version, or all rows if unknown."""
+        """Return the changes after a version.
+
+        If they are no longer all kept, return all rows instead.
+        """
         if version < self._changes_from:
             rows = tuple(self._rows.values())
             return CopyUpdate(RowChanges(rows, self.version), True)
@@ -271,14 +272,14 @@
         rows = tuple(newest.values())
         return CopyUpdate(RowChanges(rows, self.version), False)
 
-    def _log_change(self, row: VersionedRow) -> None:
+    def _record_change(self, row: VersionedRow) -> None:
         self._changes.append(row)
         if len(self._changes) > MAX_CHANGES:
             self._changes_from = self._changes.popleft().version
 
 
 def _keep_row(held: VersionedRow, version: int) -> VersionedRow:
-    """Return a kept row under the version of the restored table."""
+    """Return a held row with the version of the restored table."""
     return dataclasses.replace(
         held, version=version, origin=RowOrigin.RESTORED
     )
--- a/src/lifttrestle/internal/fleet/state/table_watch.py
+++ b/src/lifttrestle/internal/fleet/state/table_watch.py
@@ -44,14 +44,13 @@
 class TableWatch:
     """Follows one table and calls a listener for each change.
 
-    :param wait_seconds: how long the store delays its response to a read
-        while there are no changes; the client treats a watch without a
-        response for longer as failed.
+    :param wait_seconds: how long the store waits for a change before it
+        responds to a watch; the client's timeout is longer by this.
     :param listener: is called with each row that is new, changed or removed.
     :param batch_seconds: pause between a read with changes and the next one,
         so that changes in quick succession take one read.
-    :param eager: read the table once without a request to do so; otherwise
-        another router may send all of it first.
+    :param eager: read the table from the store once, even while direct reads
+        are off; otherwise another router may send all of it first.
     :param policy: decides which held rows are kept when the store is
         restored from an older copy; by default none.
     """
@@ -88,7 +87,10 @@
 
     @property
     def lost(self) -> bool:
-        """Return whether the last read failed."""
+        """Return whether the last read failed.
+
+        During the first update after an outage, observers still see True.
+        """
         return self._lost
 
     @property
@@ -106,7 +108,7 @@
         return self.copy.get_age()
 
     def set_direct_reads(self, directly: bool) -> None:
-        """Set whether to read the store or rely on other routers."""
+        """Read the store if ``directly``, else rely on other routers."""
         if directly:
             self._direct.set()
         else:
@@ -135,8 +137,9 @@
             return
         self._lost = self._lost or after_outage
         if update.is_snapshot and update.changes.version < self.copy.version:
-            # A read of this router's own was faster. The time as of which
-            # the update is current still counts: nothing newer existed then.
+            # This router's own read has returned a newer version. The time as
+            # of which the update is current still counts: the table had no
+            # newer version then.
             update = CopyUpdate(RowChanges((), update.changes.version), False)
         self._apply(update, current_as_of)
 
