--- a/src/lifttrestle/internal/fleet/state/roster.py
+++ b/src/lifttrestle/internal/fleet/state/roster.py
@@ -52,8 +52,9 @@
 # rewrites its row within half a second of learning of the loss.
 LOST_GRACE_SECONDS = 5.0
 # Number of routers assumed until the table has been read. If it were far above
-# the VMs that a deployment has in a region, every budget would be zero; below
-# it, budgets would be overspent. Each known deployment has eight or fewer.
+# the number of VMs that a deployment has in a region, every budget would be
+# zero; if it were below, the routers would exceed the budgets. Each known
+# deployment has eight VMs or fewer.
 ASSUMED_COUNT = 12
 
 
@@ -115,8 +116,8 @@
         self._undeleted: dict[str, int] = {}
         # Set when this router's row must be written or undeleted rows removed.
         self._repair_needed = asyncio.Event()
-        self._writing = asyncio.Lock()
-        self._left = False
+        self._write_lock = asyncio.Lock()
+        self._has_left = False
         self.address = ''
         self.loaded = False
         self.changes = 0
@@ -182,7 +183,7 @@
         elif row.value is None:
             self._entries.pop(row.key, None)
         else:
-            decoded = self._read_row(row.key, row.value)
+            decoded = self._decode_row(row.key, row.value)
             now = self._clock.monotonic()
             self._oldest_seen_at = min(self._oldest_seen_at, now)
             self._entries[row.key] = RosterEntry(
@@ -198,10 +199,10 @@
             self._repair_needed.set()
 
     def _begin_epoch(self, epoch: int) -> None:
-        """Drop an own version of an earlier epoch and schedule a repair.
+        """Drop this router's version of an earlier epoch; schedule a repair.
 
-        A row that was written just before a restore and never read back by
-        the watch is not reported as lost.
+        The watch does not report a row as lost that this router wrote just
+        before a restore, before the watch could read it.
         """
         self._epoch = epoch
         if get_epoch(self._own_version) < epoch:
@@ -256,7 +257,7 @@
 
     async def join(self) -> None:
         """Write this router's row, with retries until it is in the table."""
-        while not self._left and not self._is_listed():
+        while not self._has_left and not self._is_listed():
             try:
                 await self._write_own()
                 return
@@ -284,8 +285,8 @@
 
     async def _write_own(self) -> None:
         row = msgspec.json.encode(RouterRow(self._data_centre, self.address))
-        async with self._writing:
-            if not self._left:
+        async with self._write_lock:
+            if not self._has_left:
                 self._own_version = await self._write(
                     self._key, row, self._own_version
                 )
@@ -302,8 +303,8 @@
         A write in progress completes first, so that it can't restore the row
         after its removal.
         """
-        self._left = True
-        async with self._writing:
+        self._has_left = True
+        async with self._write_lock:
             if self._own_version == NO_ROW:
                 return
             if await self._remove(self._key, self._own_version):
@@ -338,7 +339,7 @@
         write = RowWrite(FLEET_TABLE, key, value, version)
         return await self._store.write_row(write)
 
-    def _read_row(self, key: str, value: bytes) -> RouterRow:
+    def _decode_row(self, key: str, value: bytes) -> RouterRow:
         """Return a decoded row, an empty one if it is invalid.
 
         The router of an invalid row is counted, but is sent no messages.
--- a/tests/cover/test_roster.py
+++ b/tests/cover/test_roster.py
@@ -38,14 +38,14 @@
     def setUp(self):
         self.rows = MemoryRows()
         self.clock = ManualClock(START)
-        self.proved_at = self.clock.monotonic()
+        self.current_as_of = self.clock.monotonic()
         self.applied = {}
 
     def make_roster(self, name, address='1.2.3.4:1'):
         roster = Roster(self.rows, self.clock, name, 'a')
         roster.address = address
         roster.loaded = True
-        roster.get_current_as_of = lambda: self.proved_at
+        roster.get_current_as_of = lambda: self.current_as_of
         return roster
 
     async def apply_changes(self, roster):
@@ -58,13 +58,13 @@
 
     def pass_time(self, seconds):
         self.clock.advance(seconds)
-        self.proved_at = self.clock.monotonic()
+        self.current_as_of = self.clock.monotonic()
 
 
-class TestVanished(RosterCase):
-    async def test_regression_vanished_router_counts_for_a_while_only(self):
-        # Its row was never removed: each VM that crashed reduced the shares of
-        # all others, until they had no budget left.
+class TestStaleRows(RosterCase):
+    async def test_regression_crashed_router_was_counted_forever(self):
+        # No router removed its row: each VM that crashed reduced the shares
+        # of all others, until they had no budget left.
         one, other = self.make_roster('one'), self.make_roster('other')
         for roster in (one, other):
             await roster.join()
@@ -76,10 +76,12 @@
         await self.apply_changes(one)
         self.assertEqual(one.live, 1)
         self.assertEqual(one.routers, ['router/one'])
-        gone = self.rows.get(FLEET_TABLE, 'router/other')
-        self.assertIsNone(gone.value)
+        removed = self.rows.get(FLEET_TABLE, 'router/other')
+        self.assertIsNone(removed.value)
 
-    async def test_nobody_is_taken_for_gone_while_the_store_is_away(self):
+    async def test_row_does_not_become_stale_during_an_outage_of_the_store(
+        self,
+    ):
         one, other = self.make_roster('one'), self.make_roster('other')
         for roster in (one, other):
             await roster.join()
@@ -104,9 +106,7 @@
 
 
 class TestJoin(RosterCase):
-    async def test_regression_new_address_replaces_that_of_an_earlier_start(
-        self,
-    ):
+    async def test_regression_row_kept_the_address_of_an_earlier_start(self):
         # A VM that restarted at another address kept its old row, so that it
         # received no load reports.
         first = self.make_roster('one', '1.2.3.4:1')
@@ -118,7 +118,9 @@
         decoded = msgspec.json.decode(row.value, type=RouterRow)
         self.assertEqual(decoded.address, '5.6.7.8:1')
 
-    async def test_row_of_an_earlier_start_is_kept_without_a_write(self):
+    async def test_unchanged_row_of_an_earlier_start_is_not_written_again(
+        self,
+    ):
         await self.make_roster('one').join()
         version = self.rows.version
         again = self.make_roster('one')
@@ -129,7 +131,7 @@
             self.pass_time(1.0)
         self.assertEqual(self.rows.version, version)
 
-    async def test_store_that_is_away_is_tried_until_it_is_back(self):
+    async def test_join_is_retried_until_the_store_is_available(self):
         roster = self.make_roster('one')
         self.rows.down = True
         joining = asyncio.create_task(roster.join())
@@ -143,7 +145,7 @@
             self.pass_time(1.0)
         self.assertIsNotNone(self.rows.get(FLEET_TABLE, roster.key).value)
 
-    async def test_row_goes_with_the_router(self):
+    async def test_router_that_leaves_removes_its_row(self):
         roster = self.make_roster('one')
         await roster.join()
         await self.apply_changes(roster)
@@ -152,15 +154,15 @@
 
 
 class TestLeave(RosterCase):
-    async def test_regression_row_is_removed_that_was_never_seen(self):
-        # A router that stopped before its watch had read its own row did not
-        # remove that, and was counted for another 15 minutes.
+    async def test_regression_row_not_yet_read_back_was_not_removed(self):
+        # A router that stopped before its watch had read its row did not
+        # remove the row, and was counted for another 15 minutes.
         roster = self.make_roster('one')
         await roster.join()
         await roster.leave()
         self.assertIsNone(self.rows.get(FLEET_TABLE, 'router/one').value)
 
-    async def test_regression_row_is_not_written_after_it_was_removed(self):
+    async def test_regression_row_was_written_again_after_its_removal(self):
         roster = self.make_roster('one')
         await roster.join()
         await self.apply_changes(roster)
@@ -170,7 +172,7 @@
             await roster.join()
         self.assertIsNone(self.rows.get(FLEET_TABLE, 'router/one').value)
 
-    async def test_older_version_of_the_row_does_not_prevent_its_removal(self):
+    async def test_row_is_removed_if_the_watch_has_read_an_older_version(self):
         roster = self.make_roster('one')
         await roster.join()
         await roster.refresh()
