--- a/src/lifttrestle/internal/fleet/state/shared_parts.py
+++ b/src/lifttrestle/internal/fleet/state/shared_parts.py
@@ -14,8 +14,8 @@
 
 Any engine can fetch a part from the cache store once it has been computed; any
 other part has to be prefilled, which takes most of the time to first token.
-Routers report new parts to each other. The data is a hint: a part that has
-been evicted since only costs its prefill.
+Routers report new parts to each other. The records are hints: if a part has
+been evicted since, the engine has to prefill it.
 """
 
 import collections
@@ -23,7 +23,7 @@
 
 from lifttrestle.internal.fleet.path.dialect import PromptPart
 
-# About a hundred bytes each; several times what engines and store can hold.
+# About 100 bytes each; several times what engines and the cache store hold.
 MAX_PARTS = 20_000
 # Parts in one report to the other routers; the rest is sent in the next one.
 MAX_UPDATES = 200
@@ -32,7 +32,10 @@
 
 
 class SharedParts:
-    """Records by salt when a shared part was last sent to the store."""
+    """Records when each shared part was last sent to the cache store.
+
+    The same part under another salt counts as another part.
+    """
 
     def __init__(self) -> None:
         self._computed_at: collections.OrderedDict[int, float] = (
@@ -45,16 +48,16 @@
     def note_computed(
         self, salt: str, parts: tuple[PromptPart, ...], now: float
     ) -> None:
-        """Record parts that an engine has computed and sent to the store."""
+        """Record parts that an engine computed and sent to the cache store."""
         for part in parts:
             key = _make_key(salt, part)
-            self._remember(key, now)
+            self._record(key, now)
             self._unreported.append(key)
 
     def note_reported(self, keys: list[int], now: float) -> None:
         """Record the keys of parts that another router has reported."""
         for key in keys:
-            self._remember(key, now)
+            self._record(key, now)
 
     def pop_updates(self) -> list[int]:
         """Return keys not yet reported to the other routers and drop them."""
@@ -73,7 +76,7 @@
             if _make_key(salt, part) not in self._computed_at
         )
 
-    def _remember(self, key: int, now: float) -> None:
+    def _record(self, key: int, now: float) -> None:
         self._computed_at[key] = now
         self._computed_at.move_to_end(key)
         if len(self._computed_at) > MAX_PARTS:
@@ -81,7 +84,7 @@
 
 
 def build_salt(cache_scope: str, model: str, weights: int) -> str:
-    """Return the salt that requests with a common cache have in common."""
+    """Return the salt of the requests that can use the same cached parts."""
     return f'{cache_scope}/{model}/{weights}'
 
 
--- a/src/lifttrestle/internal/fleet/state/shutdown.py
+++ b/src/lifttrestle/internal/fleet/state/shutdown.py
@@ -19,10 +19,10 @@
 # Fractions of the time between the signal and the kill, reserved at its end.
 # With 8 s: 0.48 s before the end, requests without an answer are refused;
 # 0.28 s before it, answers in progress are aborted; 0.1 s is for flushing the
-# last bytes of answers, and the last 0.1 s for the exit. On a healthy VM none
-# of this takes long: from the last abort to the last log line it was at most
-# 0.9 ms (20 planned stops, processor time). The reserves are for a VM that is
-# slow at that time.
+# last bytes of answers, and the last 0.1 s for the exit. The reserves are for
+# a VM that is slow at that time: on a healthy one, the steps from the last
+# abort to the last log line took at most 0.9 ms of processor time (20 planned
+# stops).
 END_SHARE = 0.06
 ABORT_SHARE = 0.035
 FLUSH_SHARE = 0.0125
@@ -38,33 +38,33 @@
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._began: float | None = None
-        self._seconds = 0.0
+        self._began_at: float | None = None
+        self._total_seconds = 0.0
         self.given_up = 0
         self.ending: asyncio.Future[None] = asyncio.Future()
 
     @property
     def begun(self) -> bool:
         """Return whether the shutdown has begun."""
-        return self._began is not None
+        return self._began_at is not None
 
     def begin(self, seconds: float) -> None:
         """Begin the shutdown, which has to end within ``seconds``."""
-        if self._began is None:
-            self._began = self._clock.monotonic()
-            self._seconds = seconds
+        if self._began_at is None:
+            self._began_at = self._clock.monotonic()
+            self._total_seconds = seconds
 
     def get_elapsed_seconds(self) -> float:
         """Return the seconds since the shutdown began; zero before that."""
-        if self._began is None:
+        if self._began_at is None:
             return 0.0
-        return self._clock.monotonic() - self._began
+        return self._clock.monotonic() - self._began_at
 
     def get_remaining_seconds(self) -> float:
         """Return the seconds until the deadline; infinite if not begun."""
-        if self._began is None:
+        if self._began_at is None:
             return float('inf')
-        return max(self._seconds - self.get_elapsed_seconds(), 0.0)
+        return max(self._total_seconds - self.get_elapsed_seconds(), 0.0)
 
     def get_serving_seconds(self) -> float:
         """Return the seconds until requests without an answer are refused."""
@@ -76,14 +76,16 @@
 
     def get_flush_seconds(self) -> float:
         """Return the seconds for flushing the last bytes of answers."""
-        return self._seconds * FLUSH_SHARE
+        return self._total_seconds * FLUSH_SHARE
 
     def get_leave_seconds(self) -> float:
-        """Return the seconds for the last write to the store."""
+        """Return the seconds left for the last write to the store."""
         return self._get_seconds_until(EXIT_SHARE)
 
     def _get_seconds_until(self, share: float) -> float:
-        return max(self.get_remaining_seconds() - self._seconds * share, 0.0)
+        return max(
+            self.get_remaining_seconds() - self._total_seconds * share, 0.0
+        )
 
     async def signal_ending(self) -> None:
         """Complete ``ending`` when the time for serving requests is over."""
--- a/src/lifttrestle/internal/fleet/state/upstream.py
+++ b/src/lifttrestle/internal/fleet/state/upstream.py
@@ -24,9 +24,9 @@
 # about the last five values count.
 SMOOTHING_FACTOR = 0.2
 # An upstream with pending answers that has sent nothing for this long seems
-# down. It is avoided, but requests sent to it go on: under normal load 99 of
-# 100 first tokens arrive within 0.75 s, and avoiding an engine for a moment
-# costs little.
+# down. New requests avoid it, but those already sent to it continue: under
+# normal load 99 of 100 first tokens arrive within 0.75 s, and avoiding an
+# engine for a moment costs little.
 SILENT_SECONDS = 0.5
 
 # An entry shows new weights up to a heartbeat (1.2 s on the known deployments)
@@ -114,9 +114,9 @@
     ) -> None:
         """Record the weights in its own entry, which may be older ones.
 
-        The version goes back if a delayed load order for the previous start
-        is executed: it is accepted if both starts have accepted the same
-        number of orders.
+        An engine returns to an older version if it executes a delayed load
+        order for its previous start. It accepts such an order if both starts
+        have accepted the same number of orders.
         """
         is_current = now - self.weights_noted_at > ENTRY_LAG_SECONDS
         if is_current and version < self.weights.get(model, 0):
--- a/src/lifttrestle/internal/fleet/state/weights_view.py
+++ b/src/lifttrestle/internal/fleet/state/weights_view.py
@@ -12,10 +12,10 @@
 
 """The plans for loading new weights into engines, as all routers see them.
 
-One row per model is the holder's lease, its plan and its fencing token. The
-holder writes it before each batch of orders, on the condition that no other
-router has written it. So every router avoids the engines of a batch before
-the orders reach them.
+Each model has one row: it is the holder's lease, it contains the plan, and its
+version is the fencing token of the orders. The holder writes the row before
+each batch of orders, on the condition that no other router has written it. So
+every router avoids the engines of a batch before the orders reach them.
 """
 
 import dataclasses
@@ -62,7 +62,7 @@
     :ivar epoch: the store's epoch in which the row was seen, or found to be
         missing.
     :ivar restored: the row comes from a restored store. A later plan may
-        have been lost while its orders are still under way.
+        have been lost whose orders can still reach the engines.
     """
 
     plan: WeightsPlan | None
@@ -84,7 +84,7 @@
         self._directory = directory
         self._refusals = refusals or InputRefusals()
         self._clock = clock
-        self._held: dict[str, ObservedPlan] = {}
+        self._observed: dict[str, ObservedPlan] = {}
         self._epoch = 0
         # When a row of this epoch was first seen. The lease of a missing plan
         # starts then, as the restored store may have lost the plan.
@@ -92,12 +92,12 @@
 
     def get(self, model: str) -> ObservedPlan:
         """Return the newest plan seen for a model."""
-        held = self._held.get(model)
+        observed = self._observed.get(model)
         # The rows of an epoch are reported together: a plan that is known
         # only from an earlier epoch is not in the restored store.
-        if held is None or held.epoch < self._epoch:
+        if observed is None or observed.epoch < self._epoch:
             return ObservedPlan(None, NO_ROW, self._epoch_seen_at, self._epoch)
-        return held
+        return observed
 
     def apply_row(self, row: VersionedRow) -> None:
         """Apply a changed row of the routers' table.
@@ -130,7 +130,7 @@
             return
         now = self._clock.monotonic()
         epoch = get_epoch(seen_version)
-        self._held[model] = ObservedPlan(None, row_version, now, epoch)
+        self._observed[model] = ObservedPlan(None, row_version, now, epoch)
         LOG.warning('weights.no_plan', model=model, fence=row_version)
 
     def apply_plan(
@@ -140,7 +140,7 @@
         if row_version <= self.get(plan.model).row_version:
             return
         now = self._clock.monotonic()
-        self._held[plan.model] = ObservedPlan(
+        self._observed[plan.model] = ObservedPlan(
             plan, row_version, now, get_epoch(row_version), restored
         )
         LOG.info(
