--- a/tests/cover/test_restored_rows.py
+++ b/tests/cover/test_restored_rows.py
@@ -105,7 +105,7 @@
             self.get_received(), {'a': (b'1', RowOrigin.UNDELETED)}
         )
 
-    def test_regression_second_restore_hid_that_a_row_was_removed(self):
+    def test_regression_removal_was_unknown_after_a_second_restore(self):
         self.apply_snapshot(1, 9, a=(3, b'1'))
         self.apply_changes(1, 10, a=(10, None))
         for epoch in (2, 3):
@@ -122,7 +122,7 @@
             self.get_received(), {'a': (b'2', RowOrigin.RESTORED)}
         )
 
-    def test_removal_is_forgotten_after_the_retention_period(self):
+    def test_removal_is_not_kept_after_the_retention_period(self):
         self.apply_snapshot(1, 9, a=(3, b'1'), b=(4, b'1'))
         self.apply_changes(1, 10, a=(10, None))
         self.clock.advance(REMOVAL_TTL_SECONDS + 1)
@@ -168,12 +168,12 @@
         )
 
     def test_missing_row_is_kept(self):
-        named = b'{"model": "m", "version": 3}'
-        self.apply_snapshot(1, 9, **{'version/m': (9, named)})
+        target = b'{"model": "m", "version": 3}'
+        self.apply_snapshot(1, 9, **{'version/m': (9, target)})
         self.apply_snapshot(2, 5)
-        self.assertEqual(self.get_relayed_rows(), {'version/m': named})
+        self.assertEqual(self.get_relayed_rows(), {'version/m': target})
 
-    def test_unreadable_restored_row_is_rejected(self):
+    def test_unreadable_restored_row_does_not_replace_a_held_one(self):
         self.apply_snapshot(1, 9, config=(9, self.make_config(7)))
         self.apply_snapshot(2, 5, config=(4, b'{'))
         self.assertEqual(
@@ -210,7 +210,7 @@
         self.apply_changes(2, 6, p=(6, self.ready))
         self.assertEqual(self.get_relayed_rows(), {'p': self.ready})
 
-    def test_removed_entry_that_does_not_lapse_is_accepted(self):
+    def test_removed_entry_that_does_not_expire_is_accepted(self):
         self.apply_snapshot(1, 9, p=(3, self.ready))
         self.apply_changes(1, 10, p=(10, None))
         self.apply_snapshot(2, 5, p=(3, self.ready))
@@ -220,7 +220,7 @@
         update = self.copy.list_since(build_version(2, 5)).changes
         self.assertEqual([row.key for row in update.rows], ['p'])
 
-    def test_regression_entry_that_lapsed_when_it_was_accepted_stayed(self):
+    def test_regression_end_of_withholding_undid_a_new_removal(self):
         self.apply_snapshot(1, 9, p=(3, self.ready))
         self.apply_changes(1, 10, p=(10, None))
         self.apply_snapshot(2, 5, p=(3, self.ready))
@@ -228,7 +228,7 @@
         self.apply_changes(2, 8, p=(7, None))
         self.assertEqual(self.get_relayed_rows(), {})
 
-    def test_removed_entry_that_lapses_stays_removed(self):
+    def test_removed_entry_that_expires_stays_removed(self):
         self.apply_snapshot(1, 9, p=(3, self.ready))
         self.apply_changes(1, 10, p=(10, None))
         self.apply_snapshot(2, 5, p=(3, self.ready))
--- a/tests/cover/test_stopping.py
+++ b/tests/cover/test_stopping.py
@@ -24,7 +24,7 @@
 
 
 class TestDecision(unittest.TestCase):
-    def test_time_limit_decides(self) -> None:
+    def test_request_that_may_outlast_the_router_is_not_accepted(self) -> None:
         self.assertTrue(can_finish_in_time(3.0, 3.0))
         self.assertFalse(can_finish_in_time(3.1, 3.0))
 
--- a/tests/cover/test_store_epochs.py
+++ b/tests/cover/test_store_epochs.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Tests of the store's epoch in what ``PlatformRowStore`` returns."""
+"""Tests of how ``PlatformRowStore`` handles the epoch of the store."""
 
 import asyncio
 import unittest
@@ -116,13 +116,13 @@
                 make_answer(2, row_vers=(41,)),
             )
 
-    def test_condition_of_an_earlier_epoch_is_not_sent(self):
+    def test_write_conditional_on_an_earlier_epoch_is_not_sent(self):
         self.read(make_answer(2))
         with self.assertRaises(ConditionFailed):
             self.write(build_version(1, 41))
         self.assertEqual(len(self.client.calls), 1)
 
-    def test_accidentally_met_condition_counts_as_unanswered(self):
+    def test_match_of_a_reused_commit_number_counts_as_unanswered(self):
         with self.assertRaises(PlatformUnavailable):
             self.write(build_version(1, 41), make_answer(2))
 
--- a/tests/cover/test_upstream_life_model.py
+++ b/tests/cover/test_upstream_life_model.py
@@ -165,14 +165,14 @@
             assert failed < 3 or state == 'half open', (name, failed, state)
 
 
-class ForgivingDirectory(UpstreamDirectory):
+class NeverExpiringDirectory(UpstreamDirectory):
     """Planted fault: each removed entry counts as expired in an outage."""
 
     def _may_return(self, upstream):
         return not upstream.entry.draining
 
 
-class HastyDirectory(UpstreamDirectory):
+class DrainingIgnoredDirectory(UpstreamDirectory):
     """Planted fault: draining entries count as ready."""
 
     def list_available(self, service):
@@ -180,7 +180,7 @@
         return [item for item in self if not item.misdirected]
 
 
-class PatientBreaker(Breaker):
+class FailuresIgnoredBreaker(Breaker):
     """Planted fault: failures are not counted."""
 
     def note_failure(self, now):
@@ -193,17 +193,17 @@
 
 
 class TestLife(unittest.TestCase):
-    def test_work_goes_to_those_that_may_have_it(self):
+    def test_requests_go_to_exactly_the_available_upstreams(self):
         run_machine()
 
-    def test_planted_entry_that_never_lapses_is_found(self):
+    def test_model_finds_removed_entry_that_never_expires(self):
         with self.assertRaises(AssertionError):
-            run_machine(directory_class=ForgivingDirectory)
+            run_machine(directory_class=NeverExpiringDirectory)
 
-    def test_planted_work_for_the_draining_is_found(self):
+    def test_model_finds_draining_upstream_that_gets_requests(self):
         with self.assertRaises(AssertionError):
-            run_machine(directory_class=HastyDirectory)
+            run_machine(directory_class=DrainingIgnoredDirectory)
 
-    def test_planted_failures_that_do_not_count_are_found(self):
+    def test_model_finds_failures_that_are_not_counted(self):
         with self.assertRaises(AssertionError):
-            run_machine(breaker_class=PatientBreaker)
+            run_machine(breaker_class=FailuresIgnoredBreaker)
--- a/tests/cover/test_upstream_starts.py
+++ b/tests/cover/test_upstream_starts.py
@@ -49,7 +49,7 @@
 
 
 class TestCompareStarts(unittest.TestCase):
-    def test_table(self):
+    def test_start_times_determine_the_order(self):
         for known, reported, order in (
             (FIRST, FIRST, StartOrder.SAME),
             (FIRST, SECOND, StartOrder.NEWER),
@@ -63,7 +63,7 @@
 
 
 class TestEntries(StartCase):
-    def test_new_start_inherits_nothing(self):
+    def test_new_start_has_no_state_of_the_old_one(self):
         old = self.put_entry()
         now = self.clock.monotonic()
         old.note_weights('m', 7, now)
@@ -83,19 +83,19 @@
         self.assertIsNot(new.pool, old.pool)
         self.assertIsNone(self.directory.get_start(old.start))
 
-    def test_new_start_of_one_that_was_leaving_is_used(self):
+    def test_new_start_of_a_draining_upstream_is_available(self):
         self.put_entry(state='draining')
         self.assertEqual(self.list_available(), [])
         self.put_entry(SECOND)
         self.assertEqual(self.list_available(), ['e1'])
 
-    def test_late_entry_of_an_older_start_is_not_believed(self):
+    def test_late_entry_of_an_older_start_is_ignored(self):
         new = self.put_entry(SECOND, weights=3)
         self.put_entry(FIRST, state='draining')
         self.assertIs(self.directory.get('e1'), new)
         self.assertEqual(self.list_available(), ['e1'])
 
-    def test_same_start_keeps_what_was_learned(self):
+    def test_new_entry_of_the_same_start_keeps_its_state(self):
         old = self.put_entry()
         for born in (FIRST, None):
             self.assertIs(self.put_entry(born), old)
@@ -161,12 +161,12 @@
         asyncio.run(tracker.poll())
         return state, len(tracker)
 
-    def test_report_of_the_known_start_is_believed(self):
+    def test_report_of_the_known_start_is_accepted(self):
         state, loading = self.read(self.put_entry(), FIRST)
         self.assertEqual(state.orders_accepted, 0)
         self.assertEqual(loading, 1)
 
-    def test_report_without_a_start_is_believed(self):
+    def test_report_without_a_start_time_is_accepted(self):
         state, _ = self.read(self.put_entry(), None)
         self.assertIsNotNone(state)
 
@@ -179,7 +179,7 @@
         self.assertEqual(new.entry.born, SECOND)
         self.assertEqual(new.weights, {'m': 1})
 
-    def test_report_of_an_older_start_is_not_believed(self):
+    def test_report_of_an_older_start_is_ignored(self):
         new = self.put_entry(SECOND)
         state, _ = self.read(new, FIRST)
         self.assertIsNone(state)
--- a/tests/nocover/test_fleet_relay.py
+++ b/tests/nocover/test_fleet_relay.py
@@ -37,7 +37,7 @@
 NAMES = ('front-a-1', 'front-a-2', 'front-a-3')
 
 
-def find_follower():
+def find_follower_name():
     """Return the name of a fourth router that would not be a relay."""
     for number in range(100):
         name = f'front-b-{number}'
@@ -47,10 +47,10 @@
             not in rank_names(RELAY_RANKING_KEY, keys)[:MIN_RELAYS]
         ):
             return name
-    raise AssertionError('one of two is a follower')
+    raise AssertionError('every name would be that of a relay')
 
 
-NEWCOMER = find_follower()
+NEWCOMER = find_follower_name()
 
 
 @contextlib.asynccontextmanager
@@ -67,11 +67,11 @@
             lambda: all(item.roster.live == len(NAMES) for item in routers)
         )
         relays = [item for item in routers if item.relays.is_relay()]
-        (other,) = [item for item in routers if item not in relays]
+        (follower,) = [item for item in routers if item not in relays]
         # The first updates may arrive some time after the request.
         await wait_until(lambda: all(item.is_ready() for item in routers))
-        await wait_until(lambda: not other.relays.reads_store)
-        yield store, relays, other
+        await wait_until(lambda: not follower.relays.reads_store)
+        yield store, relays, follower
     finally:
         for router in routers:
             await router.stop()
@@ -80,20 +80,20 @@
 
 class TestRelay(unittest.IsolatedAsyncioTestCase):
     async def test_change_reaches_a_router_that_does_not_read_the_store(self):
-        async with run_routers() as (store, relays, other):
+        async with run_routers() as (store, relays, follower):
             self.assertEqual(len(relays), 2)
             store.put('op', 'config', {**CONFIGURATION, 'version': 9})
-            await wait_until(lambda: other.catalogue.version == 9)
-            self.assertFalse(other.relays.reads_store)
+            await wait_until(lambda: follower.catalogue.version == 9)
+            self.assertFalse(follower.relays.reads_store)
 
     async def test_gauges_show_who_reads_the_store_and_its_followers(self):
-        async with run_routers() as (store, relays, other):
+        async with run_routers() as (store, relays, follower):
             await wait_until(
                 lambda: all(item.relay_server.followers for item in relays)
             )
             for router, reads, followers in (
                 (relays[0], 1.0, 1.0),
-                (other, 0.0, 0.0),
+                (follower, 0.0, 0.0),
             ):
                 read = router.registry.get_sample_value
                 self.assertEqual(read('lifttrestle_reads_store'), reads)
@@ -103,21 +103,21 @@
                 self.assertEqual(read('lifttrestle_upstreams'), 0.0)
                 self.assertEqual(read('lifttrestle_requests_running'), 0.0)
 
-    async def test_router_reads_the_store_when_its_relays_are_gone(self):
-        async with run_routers() as (store, relays, other):
+    async def test_router_reads_the_store_when_its_relays_are_closed(self):
+        async with run_routers() as (store, relays, follower):
             for relay in relays:
                 await relay.relay_server.close()
-            await wait_until(lambda: other.relays.reads_store)
+            await wait_until(lambda: follower.relays.reads_store)
             store.put('op', 'config', {**CONFIGURATION, 'version': 9})
-            await wait_until(lambda: other.catalogue.version == 9)
+            await wait_until(lambda: follower.catalogue.version == 9)
 
     async def test_router_refused_by_the_store_follows_relays(self):
-        async with run_routers() as (store, relays, other):
-            other.store.close()
-            other.store.watch_table = _refuse
+        async with run_routers() as (store, relays, follower):
+            follower.store.close()
+            follower.store.watch_table = _refuse
             store.put('op', 'config', {**CONFIGURATION, 'version': 9})
-            await wait_until(lambda: other.catalogue.version == 9)
-            await wait_until(other.is_ready)
+            await wait_until(lambda: follower.catalogue.version == 9)
+            await wait_until(follower.is_ready)
 
 
 class TestLateUpdates(unittest.IsolatedAsyncioTestCase):
@@ -130,21 +130,21 @@
             return data
 
         with mock.patch.object(relay_follower, 'read_frame', read_late):
-            async with run_routers() as (store, relays, other):
-                self.assertIsNotNone(other.catalogue)
-                self.assertFalse(other.relays.reads_store)
+            async with run_routers() as (store, relays, follower):
+                self.assertIsNotNone(follower.catalogue)
+                self.assertFalse(follower.relays.reads_store)
 
 
 class TestStart(unittest.IsolatedAsyncioTestCase):
-    async def test_router_that_starts_among_others_reads_one_table(self):
+    async def test_router_that_starts_among_others_reads_only_the_roster(self):
         # Without relays at the start, each of 195 routers read every table
         # and sent one watch of it.
-        async with run_routers() as (store, relays, other):
-            newcomer = make_router(store.address, PROMISES, NEWCOMER)
+        async with run_routers() as (store, relays, follower):
+            new_router = make_router(store.address, PROMISES, NEWCOMER)
             reads = []
             watches = []
-            read_table = newcomer.store.read_table
-            watch_table = newcomer.store.watch_table
+            read_table = new_router.store.read_table
+            watch_table = new_router.store.watch_table
 
             async def note_read(table):
                 reads.append(table)
@@ -154,32 +154,34 @@
                 watches.append(table)
                 return await watch_table(table, after, wait_seconds)
 
-            newcomer.store.read_table = note_read
-            newcomer.store.watch_table = note_watch
-            await newcomer.start()
+            new_router.store.read_table = note_read
+            new_router.store.watch_table = note_watch
+            await new_router.start()
             try:
-                await wait_until(newcomer.is_ready)
-                self.assertFalse(newcomer.relays.is_relay())
+                await wait_until(new_router.is_ready)
+                self.assertFalse(new_router.relays.is_relay())
                 self.assertEqual(reads, [FLEET_TABLE])
                 self.assertLessEqual(len(watches), 1)
             finally:
-                await newcomer.stop()
+                await new_router.stop()
 
-    async def test_router_without_an_answer_reads_the_tables_itself(self):
-        async with run_routers() as (store, relays, other):
+    async def test_starting_router_without_relays_reads_the_tables_itself(
+        self,
+    ):
+        async with run_routers() as (store, relays, follower):
             for relay in relays:
                 await relay.relay_server.close()
-            newcomer = make_router(store.address, PROMISES, NEWCOMER)
-            await newcomer.start()
+            new_router = make_router(store.address, PROMISES, NEWCOMER)
+            await new_router.start()
             try:
-                await wait_until(newcomer.is_ready)
+                await wait_until(new_router.is_ready)
             finally:
-                await newcomer.stop()
+                await new_router.stop()
 
 
 class TestInvalidData(unittest.IsolatedAsyncioTestCase):
-    async def test_garbage_ends_its_own_connection_only(self):
-        async with run_routers() as (store, relays, other):
+    async def test_invalid_data_closes_only_its_own_connection(self):
+        async with run_routers() as (store, relays, follower):
             host, port = relays[0].roster.address.split(':')
             for data in (
                 b'GET / HTTP/1.1\r\n\r\n',
@@ -195,10 +197,10 @@
                     self.assertEqual(await reader.read(), b'')
                 writer.close()
             store.put('op', 'config', {**CONFIGURATION, 'version': 9})
-            await wait_until(lambda: other.catalogue.version == 9)
+            await wait_until(lambda: follower.catalogue.version == 9)
 
-    async def test_follower_that_reads_nothing_is_cut_off(self):
-        async with run_routers() as (store, relays, other):
+    async def test_follower_that_reads_nothing_is_disconnected(self):
+        async with run_routers() as (store, relays, follower):
             server = relays[0].relay_server
             before = server.followers
             host, port = relays[0].roster.address.split(':')
--- a/tests/nocover/test_fleet_stop_found.py
+++ b/tests/nocover/test_fleet_stop_found.py
@@ -35,7 +35,7 @@
 from tests.support.soak_records import Record
 from tests.support.soak_router import SoakRouter
 
-# More streams than an estimate of their duration needs, all of them short.
+# Number of short streams, enough to estimate the duration of the next ones.
 WARM_UP = 20
 ROUTE_SECONDS = 8.0
 # Half of it is the notice period, in which connections are kept open.
@@ -57,13 +57,11 @@
 
 
 class TestDurationEstimate(unittest.IsolatedAsyncioTestCase):
-    async def test_regression_stream_longer_than_those_before_is_not_cut(
-        self,
-    ) -> None:
+    async def test_regression_stream_was_accepted_and_then_cut(self) -> None:
         async with run_fleet() as fleet:
             for _ in range(WARM_UP):
                 await fleet.generate('essay')
-            # Now the router has an estimate of the duration of the streams.
+            # An estimate from these streams would be far too short.
             fleet.clock.skip(ROUTE_SECONDS)
             await wait_until(fleet.router.is_ready)
             for name in ENGINES:
@@ -76,7 +74,9 @@
 
 
 class TestKeepAlive(unittest.IsolatedAsyncioTestCase):
-    async def test_regression_request_sent_ahead_is_answered(self) -> None:
+    async def test_regression_pipelined_request_was_not_answered(
+        self,
+    ) -> None:
         async with run_fleet(
             Promises(grace_seconds=LONG_GRACE_SECONDS)
         ) as fleet:
@@ -132,7 +132,7 @@
 
 
 class TestExit(unittest.IsolatedAsyncioTestCase):
-    async def test_regression_signals_at_the_end_leave_the_exit_code(
+    async def test_regression_signal_at_the_end_changed_the_exit_code(
         self,
     ) -> None:
         codes = [
@@ -141,7 +141,9 @@
         ]
         self.assertEqual(codes, [0, 0])
 
-    def test_regression_signal_between_two_handlers(self) -> None:
+    def test_regression_signal_between_two_handlers_ended_the_process(
+        self,
+    ) -> None:
         done = subprocess.run(
             [sys.executable, '-c', SIGNAL_BETWEEN_HANDLERS], check=False
         )
--- a/tests/nocover/test_store_restore.py
+++ b/tests/nocover/test_store_restore.py
@@ -102,8 +102,8 @@
             self.assertTrue(draining)
 
     async def test_regression_routers_were_not_ready_after_a_restore(self):
-        async with run_routers() as (store, relays, other):
-            routers = [*relays, other]
+        async with run_routers() as (store, relays, follower):
+            routers = [*relays, follower]
             snapshot = store.rows.take_snapshot()
             write_rows(store, LOST_COMMITS)
             await asyncio.sleep(1.0)
@@ -196,23 +196,23 @@
             self.assertIsNotNone(fleet.router.directory.get('p1'))
 
     async def test_regression_starting_router_got_the_older_version(self):
-        async with run_routers() as (store, relays, other):
+        async with run_routers() as (store, relays, follower):
             snapshot = store.rows.take_snapshot()
             store.put('op', 'config', build_configuration(9))
             self.assertTrue(
                 await holds_within(
                     lambda: all(
                         item.catalogue.version == 9
-                        for item in (*relays, other)
+                        for item in (*relays, follower)
                     ),
                     APPLY_SECONDS,
                 )
             )
             await restore_snapshot(store, snapshot)
-            newcomer = make_router(store.address, PROMISES, NEWCOMER)
-            await newcomer.start()
+            new_router = make_router(store.address, PROMISES, NEWCOMER)
+            await new_router.start()
             try:
-                await wait_until(newcomer.is_ready)
-                self.assertEqual(newcomer.catalogue.version, 9)
+                await wait_until(new_router.is_ready)
+                self.assertEqual(new_router.catalogue.version, 9)
             finally:
-                await newcomer.stop()
+                await new_router.stop()
