--- a/src/lifttrestle/internal/fleet/state/relay_follower.py
+++ b/src/lifttrestle/internal/fleet/state/relay_follower.py
@@ -26,9 +26,9 @@
 from lifttrestle.internal.clock.clock import Clock
 from lifttrestle.internal.clock.ticker import Ticker
 from lifttrestle.internal.fleet.state.relay_messages import encode_frame
+from lifttrestle.internal.fleet.state.relay_messages import extract_update
 from lifttrestle.internal.fleet.state.relay_messages import MAX_UPDATE_BYTES
 from lifttrestle.internal.fleet.state.relay_messages import read_frame
-from lifttrestle.internal.fleet.state.relay_messages import read_update
 from lifttrestle.internal.fleet.state.relay_messages import SubscribeRequest
 from lifttrestle.internal.fleet.state.relay_messages import TableUpdate
 from lifttrestle.internal.fleet.state.roster import Roster
@@ -236,7 +236,7 @@
             )
         previous_as_of = watch.current_as_of
         watch.apply_relayed(
-            read_update(message), current_as_of, message.after_outage
+            extract_update(message), current_as_of, message.after_outage
         )
         # An update that confirms nothing must not delay reading the store.
         if (
--- a/src/lifttrestle/internal/fleet/state/relay_messages.py
+++ b/src/lifttrestle/internal/fleet/state/relay_messages.py
@@ -92,7 +92,7 @@
     )
 
 
-def read_update(message: TableUpdate) -> CopyUpdate:
+def extract_update(message: TableUpdate) -> CopyUpdate:
     """Return the update that a message carries."""
     rows = tuple(
         VersionedRow(row.key, row.value, row.version) for row in message.rows
