--- a/tests/nocover/test_fleet_relay.py
+++ b/tests/nocover/test_fleet_relay.py
@@ -50,7 +50,7 @@
     raise AssertionError('every name would be that of a relay')
 
 
-NEWCOMER = find_follower_name()
+NEW_FOLLOWER = find_follower_name()
 
 
 @contextlib.asynccontextmanager
@@ -140,7 +140,7 @@
         # Without relays at the start, each of 195 routers read every table
         # and sent one watch of it.
         async with run_routers() as (store, relays, follower):
-            new_router = make_router(store.address, PROMISES, NEWCOMER)
+            new_router = make_router(store.address, PROMISES, NEW_FOLLOWER)
             reads = []
             watches = []
             read_table = new_router.store.read_table
@@ -171,7 +171,7 @@
         async with run_routers() as (store, relays, follower):
             for relay in relays:
                 await relay.relay_server.close()
-            new_router = make_router(store.address, PROMISES, NEWCOMER)
+            new_router = make_router(store.address, PROMISES, NEW_FOLLOWER)
             await new_router.start()
             try:
                 await wait_until(new_router.is_ready)
--- a/tests/nocover/test_store_restore.py
+++ b/tests/nocover/test_store_restore.py
@@ -17,7 +17,7 @@
 import unittest
 
 from lifttrestle.internal.fleet.state.row_version import get_commit_number
-from tests.nocover.test_fleet_relay import NEWCOMER
+from tests.nocover.test_fleet_relay import NEW_FOLLOWER
 from tests.nocover.test_fleet_relay import run_routers
 from tests.support.fleet import CONFIGURATION
 from tests.support.fleet import make_route
@@ -209,7 +209,7 @@
                 )
             )
             await restore_snapshot(store, snapshot)
-            new_router = make_router(store.address, PROMISES, NEWCOMER)
+            new_router = make_router(store.address, PROMISES, NEW_FOLLOWER)
             await new_router.start()
             try:
                 await wait_until(new_router.is_ready)
