--- a/src/lifttrestle/internal/fleet/policy/engine_costs.py
+++ b/src/lifttrestle/internal/fleet/policy/engine_costs.py
@@ -134,7 +134,7 @@
         own_tokens=generation.own_tokens,
         shared_tokens=sum(part.tokens for part in shared),
         unknown_tokens={
-            version: parts.count_unknown(
+            version: parts.count_unknown_tokens(
                 build_salt(cache_scope, model, version), shared
             )
             for version in versions
--- a/src/lifttrestle/internal/fleet/state/shared_parts.py
+++ b/src/lifttrestle/internal/fleet/state/shared_parts.py
@@ -68,7 +68,9 @@
         """Return the seconds since a part was computed, infinite if never."""
         return now - self._computed_at.get(_make_key(salt, part), NEVER)
 
-    def count_unknown(self, salt: str, parts: tuple[PromptPart, ...]) -> int:
+    def count_unknown_tokens(
+        self, salt: str, parts: tuple[PromptPart, ...]
+    ) -> int:
         """Return the tokens of the parts that are not known to be computed."""
         return sum(
             part.tokens
--- a/tests/cover/test_peer_loads.py
+++ b/tests/cover/test_peer_loads.py
@@ -158,8 +158,10 @@
         sender.parts.note_computed('salt', parts, 0.0)
         news = sender.parts.pop_updates()
         receiver.loads.apply_report(LoadReport('a', 1, [], news))
-        self.assertEqual(receiver.parts.count_unknown('salt', parts), 0)
-        self.assertEqual(receiver.parts.count_unknown('other', parts), 400)
+        self.assertEqual(receiver.parts.count_unknown_tokens('salt', parts), 0)
+        self.assertEqual(
+            receiver.parts.count_unknown_tokens('other', parts), 400
+        )
         # Received prefixes are not forwarded, and own ones are sent once.
         self.assertEqual(receiver.parts.pop_updates(), [])
         self.assertEqual(sender.parts.pop_updates(), [])
