--- a/src/lifttrestle/internal/fleet/state/peer_loads.py
+++ b/src/lifttrestle/internal/fleet/state/peer_loads.py
@@ -301,7 +301,7 @@
             for upstream in self._directory
             if upstream.in_flight
         ]
-        parts = self._parts.pop_updates()
+        parts = self._parts.pop_unreported()
         self._usage_roles.update(self._choice.choose())
         if uses_aggregation(self._roster.live):
             self._send_to_aggregator(loads, parts, is_query=is_query)
--- a/src/lifttrestle/internal/fleet/state/shared_parts.py
+++ b/src/lifttrestle/internal/fleet/state/shared_parts.py
@@ -59,7 +59,7 @@
         for key in keys:
             self._record(key, now)
 
-    def pop_updates(self) -> list[int]:
+    def pop_unreported(self) -> list[int]:
         """Return keys not yet reported to the other routers and drop them."""
         count = min(len(self._unreported), MAX_UPDATES)
         return [self._unreported.popleft() for _ in range(count)]
--- a/tests/cover/test_peer_loads.py
+++ b/tests/cover/test_peer_loads.py
@@ -156,21 +156,21 @@
         sender, receiver = Router('a'), Router('b')
         parts = (PromptPart('aa', 400),)
         sender.parts.note_computed('salt', parts, 0.0)
-        news = sender.parts.pop_updates()
+        news = sender.parts.pop_unreported()
         receiver.loads.apply_report(LoadReport('a', 1, [], news))
         self.assertEqual(receiver.parts.count_unknown_tokens('salt', parts), 0)
         self.assertEqual(
             receiver.parts.count_unknown_tokens('other', parts), 400
         )
         # Received prefixes are not forwarded, and own ones are sent once.
-        self.assertEqual(receiver.parts.pop_updates(), [])
-        self.assertEqual(sender.parts.pop_updates(), [])
+        self.assertEqual(receiver.parts.pop_unreported(), [])
+        self.assertEqual(sender.parts.pop_unreported(), [])
 
     def test_report_stays_small_whatever_was_read(self):
         parts = SharedParts()
         many = tuple(PromptPart(f'{number}', 1) for number in range(450))
         parts.note_computed('salt', many, 0.0)
-        sizes = [len(parts.pop_updates()) for _ in range(4)]
+        sizes = [len(parts.pop_unreported()) for _ in range(4)]
         self.assertEqual(sizes, [MAX_UPDATES, MAX_UPDATES, 50, 0])
 
 
