--- a/src/lifttrestle/internal/fleet/state/shared_parts.py
+++ b/src/lifttrestle/internal/fleet/state/shared_parts.py
@@ -26,7 +26,7 @@
 # About 100 bytes each; several times what engines and the cache store hold.
 MAX_PARTS = 20_000
 # Parts in one report to the other routers; the rest is sent in the next one.
-MAX_UPDATES = 200
+MAX_REPORTED_PARTS = 200
 DIGEST_BYTES = 8
 NEVER = float('-inf')
 
@@ -61,7 +61,7 @@
 
     def pop_unreported(self) -> list[int]:
         """Return keys not yet reported to the other routers and drop them."""
-        count = min(len(self._unreported), MAX_UPDATES)
+        count = min(len(self._unreported), MAX_REPORTED_PARTS)
         return [self._unreported.popleft() for _ in range(count)]
 
     def get_age(self, salt: str, part: PromptPart, now: float) -> float:
--- a/tests/cover/test_peer_loads.py
+++ b/tests/cover/test_peer_loads.py
@@ -33,7 +33,7 @@
 from lifttrestle.internal.fleet.state.roster import Roster
 from lifttrestle.internal.fleet.state.roster import RouterRow
 from lifttrestle.internal.fleet.state.rows import VersionedRow
-from lifttrestle.internal.fleet.state.shared_parts import MAX_UPDATES
+from lifttrestle.internal.fleet.state.shared_parts import MAX_REPORTED_PARTS
 from lifttrestle.internal.fleet.state.shared_parts import SharedParts
 from lifttrestle.internal.fleet.state.upstream_entry import build_digest
 from lifttrestle.internal.http.address import Address
@@ -171,7 +171,9 @@
         many = tuple(PromptPart(f'{number}', 1) for number in range(450))
         parts.note_computed('salt', many, 0.0)
         sizes = [len(parts.pop_unreported()) for _ in range(4)]
-        self.assertEqual(sizes, [MAX_UPDATES, MAX_UPDATES, 50, 0])
+        self.assertEqual(
+            sizes, [MAX_REPORTED_PARTS, MAX_REPORTED_PARTS, 50, 0]
+        )
 
 
 class TestDatagrams(unittest.IsolatedAsyncioTestCase):
