--- a/tests/cover/test_peer_loads.py
+++ b/tests/cover/test_peer_loads.py
@@ -33,7 +33,7 @@
 from lifttrestle.internal.fleet.state.roster import Roster
 from lifttrestle.internal.fleet.state.roster import RouterRow
 from lifttrestle.internal.fleet.state.rows import VersionedRow
-from lifttrestle.internal.fleet.state.shared_parts import MAX_UPDATES
+from lifttrestle.internal.fleet.state.shared_parts import MAX_REPORTED_PARTS
 from lifttrestle.internal.fleet.state.shared_parts import SharedParts
 from lifttrestle.internal.fleet.state.upstream_entry import build_digest
 from lifttrestle.internal.http.address import Address
@@ -156,20 +156,24 @@
         sender, receiver = Router('a'), Router('b')
         parts = (PromptPart('aa', 400),)
         sender.parts.note_computed('salt', parts, 0.0)
-        news = sender.parts.pop_updates()
+        news = sender.parts.pop_unreported()
         receiver.loads.apply_report(LoadReport('a', 1, [], news))
-        self.assertEqual(receiver.parts.count_unknown('salt', parts), 0)
-        self.assertEqual(receiver.parts.count_unknown('other', parts), 400)
+        self.assertEqual(receiver.parts.count_unknown_tokens('salt', parts), 0)
+        self.assertEqual(
+            receiver.parts.count_unknown_tokens('other', parts), 400
+        )
         # Received prefixes are not forwarded, and own ones are sent once.
-        self.assertEqual(receiver.parts.pop_updates(), [])
-        self.assertEqual(sender.parts.pop_updates(), [])
+        self.assertEqual(receiver.parts.pop_unreported(), [])
+        self.assertEqual(sender.parts.pop_unreported(), [])
 
     def test_report_stays_small_whatever_was_read(self):
         parts = SharedParts()
         many = tuple(PromptPart(f'{number}', 1) for number in range(450))
         parts.note_computed('salt', many, 0.0)
-        sizes = [len(parts.pop_updates()) for _ in range(4)]
-        self.assertEqual(sizes, [MAX_UPDATES, MAX_UPDATES, 50, 0])
+        sizes = [len(parts.pop_unreported()) for _ in range(4)]
+        self.assertEqual(
+            sizes, [MAX_REPORTED_PARTS, MAX_REPORTED_PARTS, 50, 0]
+        )
 
 
 class TestDatagrams(unittest.IsolatedAsyncioTestCase):
