--- a/src/lifttrestle/internal/configuration/change.py
+++ b/src/lifttrestle/internal/configuration/change.py
@@ -18,7 +18,7 @@
 
 
 class Change(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Replaces an item by a new body, or removes it.
+    """Sets an item to a new body, or removes it.
 
     :ivar body: the complete new item as JSON types, or None to remove it.
     """
--- a/src/lifttrestle/internal/configuration/keeper.py
+++ b/src/lifttrestle/internal/configuration/keeper.py
@@ -13,7 +13,7 @@
 """Keeps the view that one router has of the configuration up to date.
 
 The task that runs ``run`` polls the table service. Other tasks read the view,
-wait until it changes, or pass on what a peer has sent.
+wait until it changes, or apply what a peer has sent.
 """
 
 import asyncio
@@ -46,7 +46,7 @@
 MAX_RECENT_CHANGES = 256
 # While a proposal is pending, the poll interval is multiplied by this.
 PROPOSAL_POLL_FACTOR = 0.5
-# Without a proposal, the list of routers is read once in so many polls.
+# Without a proposal, one of this many polls reads the list of routers.
 POLLS_PER_MEMBERS_READ = 10
 
 
@@ -117,7 +117,10 @@
         return self._member
 
     def set_peers_address(self, address: str) -> None:
-        """Set the address of this process for peers, before the first poll."""
+        """Set the address at which peers reach this process.
+
+        Has to precede the first poll, which registers the address.
+        """
         self._member = msgspec.structs.replace(self._member, peers=address)
 
     def request_poll(self) -> None:
@@ -163,9 +166,10 @@
             LOG.warning('configuration: failed to deregister: %s', error)
 
     def list_changes_after(self, revision: int) -> list[AcceptedChange] | None:
-        """Return the changes after ``revision``.
+        """Return the accepted changes after ``revision``.
 
-        None if not all of them are kept and a peer needs the whole document.
+        None if some of them are no longer kept; the peer then needs the whole
+        document.
         """
         newer = [item for item in self._recent if item.revision > revision]
         if len(newer) != self._view.revision - revision:
@@ -185,11 +189,11 @@
         proposal: Plan | None,
         origin: str = 'a peer',
     ) -> None:
-        """Replace the configuration, if this one is newer.
+        """Apply a document, unless its revision or a later one is loaded.
 
-        Used for documents from the table and from peers alike: a peer may
-        send a later revision while the table is being read, and the older
-        one must not replace it.
+        Documents come from the table and from peers. A peer may send a later
+        revision while the table is being read, and the earlier one must not
+        replace it.
 
         :param origin: where the document comes from, for the log.
         """
@@ -220,7 +224,7 @@
         """Add this process to the list of routers, or update its entry.
 
         This precedes the first read of the configuration, so that no change
-        made after it can be accepted without an acknowledgement from here.
+        made after it can be accepted before this process acknowledges it.
         The entry is updated when the VM list first shows the VM.
         """
         vms = self.platform_status.vms or {}
@@ -255,8 +259,8 @@
         """
         self._polls += 1
         head = await self._store.read_head()
-        due = self._polls % POLLS_PER_MEMBERS_READ == 1
-        if not head.value.plan_id and not due:
+        members_due = self._polls % POLLS_PER_MEMBERS_READ == 1
+        if not head.value.plan_id and not members_due:
             return Heads(head, self._members)
         heads = await self._store.read_heads()
         self._members = heads.members
@@ -284,7 +288,7 @@
         if plan is None or plan.value.state is not PlanState.PROPOSED:
             return
         if self._view.revision != plan.value.base:
-            # A peer has meanwhile sent the revision that decided it.
+            # While the plan was being read, a peer sent a later revision.
             return
         if self._view.proposal is None:
             self._enforce_proposal(plan.value)
--- a/src/lifttrestle/internal/configuration/plan.py
+++ b/src/lifttrestle/internal/configuration/plan.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Plans: changes that an operator makes, then confirms."""
+"""Plans: sets of changes that an operator drafts and then confirms."""
 
 import datetime
 import enum
@@ -21,7 +21,7 @@
 
 
 class PlanState(enum.Enum):
-    """State of a plan."""
+    """State of a plan; ``ACCEPTED`` and ``WITHDRAWN`` are final."""
 
     DRAFTED = 'drafted'
     PROPOSED = 'proposed'
--- a/src/lifttrestle/internal/configuration/planner.py
+++ b/src/lifttrestle/internal/configuration/planner.py
@@ -89,10 +89,12 @@
     """Return one human-readable line for each field that differs."""
     lines = []
     for change in changes:
-        old = _encode_set_fields(
+        old = _encode_nonempty_fields(
             before.get_items(change.kind).get(change.name)
         )
-        new = _encode_set_fields(after.get_items(change.kind).get(change.name))
+        new = _encode_nonempty_fields(
+            after.get_items(change.kind).get(change.name)
+        )
         title = f'{change.kind.value} {change.name}'
         for field in sorted(old.keys() | new.keys()):
             if old.get(field) != new.get(field):
@@ -190,7 +192,7 @@
     return change.name in names[change.kind]
 
 
-def _encode_set_fields(item: Item | None) -> dict[str, object]:
+def _encode_nonempty_fields(item: Item | None) -> dict[str, object]:
     if item is None:
         return {}
     return {key: value for key, value in encode_item(item).items() if value}
--- a/src/lifttrestle/internal/configuration/store.py
+++ b/src/lifttrestle/internal/configuration/store.py
@@ -47,7 +47,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Heads:
-    """The head and the list of routers, read as of one commit."""
+    """The head and the list of routers, for the checks of a transaction."""
 
     head: Versioned[Head]
     members: Versioned[Members]
@@ -65,7 +65,7 @@
         self._large_changes = LargeChanges(objects)
 
     async def read_heads(self) -> Heads:
-        """Return the head and the list of routers."""
+        """Return the head and the list of routers, as of one commit."""
         rows = await self._table.read((keys.HEAD, keys.MEMBERS))
         return Heads(
             decode_row(rows.get(keys.HEAD), Head),
@@ -80,8 +80,8 @@
     async def load_document(self) -> tuple[int, Document]:
         """Return the accepted revision and its document.
 
-        The revision and the items are separate reads, which are repeated if
-        the revision changes in between.
+        Reads the revision before and after the items, and starts again if it
+        has changed in between.
 
         :raises PlatformUnavailable: also if it changed during each of
             ``LOAD_ATTEMPTS`` attempts.
@@ -187,11 +187,11 @@
     ) -> int:
         """Make a proposed plan the accepted revision and return its number.
 
-        The transaction checks that the head, the plan and the list of
-        routers are those for which the acknowledgements were counted.
-
+        :param heads: the head and the list of routers for which the
+            acknowledgements were counted.
         :param gone: routers to remove from the list.
-        :raises ConditionFailed: if any of them has changed since.
+        :raises ConditionFailed: if the head, the plan or the list of routers
+            has changed since it was read.
         """
         revision = heads.head.value.revision + 1
         plan_id = plan.value.plan_id
@@ -232,18 +232,18 @@
         await self._update_members(lambda members: members.remove(instances))
 
     async def _update_members(
-        self, change: typing.Callable[[Members], Members]
+        self, update: typing.Callable[[Members], Members]
     ) -> None:
         while True:
             known = (await self.read_heads()).members
-            wanted = change(known.value)
-            if wanted == known.value:
+            updated = update(known.value)
+            if updated == known.value:
                 return
             try:
                 await self._table.transact(
                     Transaction(
                         (Check(keys.MEMBERS, known.version),),
-                        (make_write(keys.MEMBERS, wanted),),
+                        (make_write(keys.MEMBERS, updated),),
                     )
                 )
             except ConditionFailed:
