--- a/src/lifttrestle/internal/clock/guarded.py
+++ b/src/lifttrestle/internal/clock/guarded.py
@@ -37,15 +37,19 @@
     def __init__(self, clock: Clock, bound_seconds: float) -> None:
         self._clock = clock
         self._bound = datetime.timedelta(seconds=bound_seconds)
-        self._wall = clock.now()
-        self._monotonic = clock.monotonic()
+        self._start_wall = clock.now()
+        self._start_monotonic = clock.monotonic()
         self._warned = False
 
     def now(self) -> datetime.datetime:
         """Return the wall time, at most its upper bound."""
         wall = self._clock.now()
-        elapsed = self._clock.monotonic() - self._monotonic
-        latest = self._wall + datetime.timedelta(seconds=elapsed) + self._bound
+        elapsed = self._clock.monotonic() - self._start_monotonic
+        latest = (
+            self._start_wall
+            + datetime.timedelta(seconds=elapsed)
+            + self._bound
+        )
         if wall <= latest:
             return wall
         if not self._warned:
--- a/src/lifttrestle/internal/membership/peers.py
+++ b/src/lifttrestle/internal/membership/peers.py
@@ -34,20 +34,21 @@
 
     def __init__(self, clock: Clock, own_instance: str) -> None:
         self._clock = clock
-        self._own = own_instance
+        self._own_instance = own_instance
         self._peers: dict[str, Peer] = {}
 
     def update(self, member: Member, leaving: bool) -> None:
         """Record a message that was received from a router."""
-        if member.instance == self._own:
+        if member.instance == self._own_instance:
             return
         now = self._clock.monotonic()
         self._peers[member.instance] = Peer(member, now, leaving)
 
     def count_live(self) -> int:
-        """Return the number of routers that stay, this one included.
+        """Return the number of live routers, this one included.
 
-        Routers that are leaving are not counted.
+        Routers that are leaving do not count, as they take no new share of
+        the limits.
         """
         self._drop_silent()
         staying = [peer for peer in self._peers.values() if not peer.leaving]
--- a/src/lifttrestle/internal/orders/lease.py
+++ b/src/lifttrestle/internal/orders/lease.py
@@ -66,7 +66,7 @@
         self._key = f'lease/{name}'
         self._holder = holder
         self._seconds = seconds
-        self._error = datetime.timedelta(seconds=clock_error_seconds)
+        self._clock_error = datetime.timedelta(seconds=clock_error_seconds)
         self._fencing = NOT_HELD
         self._renew_at = float('-inf')
 
@@ -97,7 +97,7 @@
         current = None
         if row is not None:
             current = msgspec.json.decode(row.value, type=LeaseRow)
-            expired = current.expires_at + self._error <= now
+            expired = current.expires_at + self._clock_error <= now
             if current.holder != self._holder and not expired:
                 return NOT_HELD
         fencing = self._choose_fencing(current, now)
--- a/src/lifttrestle/internal/upstream/driver.py
+++ b/src/lifttrestle/internal/upstream/driver.py
@@ -56,7 +56,7 @@
 
     @abc.abstractmethod
     def build_cancel(self, identity: EngineIdentity) -> RequestHead:
-        """Return the request that cancels a generation without a reader."""
+        """Return the request that cancels a generation nobody reads."""
 
     @abc.abstractmethod
     def build_order(self, order: EngineOrder) -> tuple[RequestHead, bytes]:
--- a/src/lifttrestle/internal/upstream/prober.py
+++ b/src/lifttrestle/internal/upstream/prober.py
@@ -26,7 +26,7 @@
 
 LOG = logging.getLogger('lifttrestle.upstream')
 OK = 200
-# After so many consecutive failed probes the last report is discarded.
+# Consecutive failed probes after which the last report is discarded.
 MAX_MISSED_PROBES = 3
 
 
--- a/src/lifttrestle/internal/upstream/standard_driver.py
+++ b/src/lifttrestle/internal/upstream/standard_driver.py
@@ -60,7 +60,7 @@
         return RequestHead('GET', STREAMS_PATH + identity.stream_id, headers)
 
     def build_cancel(self, identity: EngineIdentity) -> RequestHead:
-        """Return the request that cancels a generation without a reader."""
+        """Return the request that cancels a generation nobody reads."""
         return RequestHead('DELETE', STREAMS_PATH + identity.stream_id)
 
     def build_order(self, order: EngineOrder) -> tuple[RequestHead, bytes]:
--- a/src/lifttrestle/internal/upstream/state.py
+++ b/src/lifttrestle/internal/upstream/state.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""A router's state of one upstream; not persisted."""
+"""What a router knows about one upstream; not persisted."""
 
 import dataclasses
 
