--- a/src/lifttrestle/internal/operators/handler.py
+++ b/src/lifttrestle/internal/operators/handler.py
@@ -111,7 +111,7 @@
         self._tokens = tokens
         plan = r'/intent/plans/(?P<plan_id>[0-9a-f]+)'
         items = r'/intent/items/(?P<kind>[a-z]+)'
-        table: tuple[tuple[str, str, Role, Action], ...] = (
+        routes: tuple[tuple[str, str, Role, Action], ...] = (
             ('GET', r'/intent/status', Role.READER, self._get_status),
             ('GET', items, Role.READER, self._list_items),
             ('GET', items + r'/(?P<name>[^/]+)', Role.READER, self._get_item),
@@ -122,7 +122,7 @@
         )
         self._routes = [
             OperatorRoute(method, re.compile(path), role, action)
-            for method, path, role, action in table
+            for method, path, role, action in routes
         ]
 
     async def handle(
--- a/src/lifttrestle/internal/operators/intent.py
+++ b/src/lifttrestle/internal/operators/intent.py
@@ -105,7 +105,10 @@
             return PlanOutcome(plan, {})
 
     def _is_resolved(self, plan: Plan) -> bool:
-        """Return whether a plan is decided and, if accepted, enforced here."""
+        """Return whether a plan is no longer proposed.
+
+        An accepted plan counts only once this router has applied it.
+        """
         if plan.state is PlanState.ACCEPTED:
             return self._keeper.view.revision >= plan.revision
         return plan.state is not PlanState.PROPOSED
@@ -127,7 +130,7 @@
                 field='plan_id',
             )
         heads = await self._store.read_heads()
-        self._check_pending(heads)
+        self._refuse_if_pending(heads)
         if plan.value.base != heads.head.value.revision:
             await self._refuse_stale(plan.value, heads)
         await self._store.propose(plan, heads.head)
@@ -179,7 +182,7 @@
             )
         return plan
 
-    def _check_pending(self, heads: Heads) -> None:
+    def _refuse_if_pending(self, heads: Heads) -> None:
         pending = heads.head.value.plan_id
         if not pending:
             return
--- a/src/lifttrestle/internal/operators/status.py
+++ b/src/lifttrestle/internal/operators/status.py
@@ -25,7 +25,7 @@
 
     :ivar versions: version of the weights for each loaded model; empty unless
         the upstream is an engine with a current report.
-    :ivar leaving: whether its VM leaves or is gone, or the upstream drains.
+    :ivar leaving: whether its VM is leaving or gone, or the upstream drains.
     """
 
     name: str
@@ -44,7 +44,7 @@
     :ivar revision: latest accepted revision that this router has applied.
     :ivar proposal: identifier of the pending plan, or empty.
     :ivar live_routers: number of live routers, this one included.
-    :ivar routers: all members as ``data_centre/name``.
+    :ivar routers: all registered routers as ``data_centre/name``.
     """
 
     router: str
