--- a/tests/cover/test_configuration_model.py
+++ b/tests/cover/test_configuration_model.py
@@ -299,14 +299,14 @@
         machine = type('Model', (ConfigurationModel,), {'KEEPER': keeper})
         stateful.run_state_machine_as_test(machine, settings=examples)
 
-    def test_accepted_is_in_force_and_never_reverts(self) -> None:
+    def test_no_router_violates_or_reverts_an_accepted_change(self) -> None:
         self.check(ConfigurationKeeper, EXAMPLES)
 
-    def test_model_finds_an_early_acknowledgement(self) -> None:
+    def test_model_detects_an_early_acknowledgement(self) -> None:
         with self.assertRaises(AssertionError):
             self.check(EarlyAcknowledgingKeeper, FAULTY_EXAMPLES)
 
-    def test_model_finds_that_silence_is_taken_for_death(self) -> None:
+    def test_model_detects_acceptance_without_silent_routers(self) -> None:
         def count_silent_as_gone(plan, members, acknowledged, vms):  # noqa
             progress = compute_progress(plan, members, acknowledged, vms)
             return PlanProgress((), (*progress.gone, *progress.waiting))
--- a/tests/cover/test_keeper.py
+++ b/tests/cover/test_keeper.py
@@ -44,7 +44,7 @@
         while not poll.done():
             for call in list(gate.calls):
                 await gate.decide(call, Fate.ANSWERED)
-            # Repeated after each answer, and so also after the last one.
+            # Also after the last answer, which the keeper applies next.
             if gate.scans:
                 keeper.apply_document(1, NEWER, None)
             await settle_loop()
--- a/tests/cover/test_large_changes.py
+++ b/tests/cover/test_large_changes.py
@@ -54,16 +54,16 @@
         self.assertEqual(self.objects.bodies, {})
         self.assertEqual(await self.large_changes.load(stored), stored)
 
-    async def test_large_change_is_put_aside_and_found_again(self):
+    async def test_large_change_is_offloaded_and_loaded_again(self):
         plan = make_plan(MAX_ROW_BYTES)
         stored = await self.large_changes.offload(4, plan)
         self.assertEqual(stored.changes, ())
         self.assertEqual(list(self.objects.bodies), [stored.object_key])
-        filled = await self.large_changes.load(stored)
-        self.assertEqual(filled.changes, plan.changes)
-        self.assertEqual((filled.revision, filled.plan_id), (4, 'p'))
+        loaded = await self.large_changes.load(stored)
+        self.assertEqual(loaded.changes, plan.changes)
+        self.assertEqual((loaded.revision, loaded.plan_id), (4, 'p'))
 
-    async def test_change_whose_object_is_missing_is_not_taken_for_empty(self):
+    async def test_missing_object_is_an_error_and_no_empty_change(self):
         stored = await self.large_changes.offload(4, make_plan(MAX_ROW_BYTES))
         self.objects.bodies.clear()
         with self.assertRaisesRegex(PlatformUnavailable, stored.object_key):
--- a/tests/cover/test_orders.py
+++ b/tests/cover/test_orders.py
@@ -71,10 +71,10 @@
     def setUp(self) -> None:
         self.table = LossyTable()
         self.clock = ManualClock(START)
-        self.one = self.make('one')
-        self.two = self.make('two')
+        self.one = self.make_lease('one')
+        self.two = self.make_lease('two')
 
-    def make(self, holder: str) -> Lease:
+    def make_lease(self, holder: str) -> Lease:
         return Lease(
             self.table, self.clock, 'x', holder, LEASE_SECONDS, CLOCK_ERROR
         )
@@ -88,12 +88,14 @@
         self.clock.advance(CLOCK_ERROR)
         self.assertEqual(await self.two.acquire(), 2)
 
-    async def test_renewing_keeps_the_number(self) -> None:
+    async def test_renewal_keeps_the_fencing_number(self) -> None:
         for _ in range(5):
             self.assertEqual(await self.one.acquire(), 1)
             self.clock.advance(LEASE_SECONDS * 0.6)
 
-    async def test_own_lapsed_lease_gets_a_higher_number(self) -> None:
+    async def test_expired_lease_of_same_holder_gets_a_higher_number(
+        self,
+    ) -> None:
         await self.one.acquire()
         self.clock.advance(LEASE_SECONDS * 3)
         self.assertEqual(await self.one.acquire(), 2)
@@ -103,7 +105,7 @@
         self.assertEqual(await self.one.acquire(), NOT_HELD)
         self.assertEqual(await self.one.acquire(), 1)
 
-    async def test_paused_holder_cannot_bring_old_weights_back(self) -> None:
+    async def test_paused_holder_cannot_restore_old_weights(self) -> None:
         engine = Engine(checks=True)
         late = compute_order_number(await self.one.acquire(), 7)
         # The first holder is paused between acquiring and sending.
@@ -113,14 +115,16 @@
         self.assertFalse(engine.load('v1', late))
         self.assertEqual(engine.version, 'v2')
 
-    async def test_late_order_of_one_holder_undoes_nothing(self) -> None:
+    async def test_late_order_of_same_holder_is_rejected(self) -> None:
         engine = Engine(checks=True)
         fencing = await self.one.acquire()
         self.assertTrue(engine.load('v2', compute_order_number(fencing, 8)))
         self.assertFalse(engine.load('v1', compute_order_number(fencing, 7)))
 
-    async def test_engine_that_does_not_check_would_be_undone(self) -> None:
-        # This is why an engine that does not check gets no orders.
+    async def test_engine_without_fencing_check_restores_old_weights(
+        self,
+    ) -> None:
+        # This is why such an engine gets no orders.
         engine = Engine(checks=False)
         engine.load('v2', compute_order_number(2, 8))
         engine.load('v1', compute_order_number(1, 7))
@@ -152,7 +156,7 @@
         self.assertEqual(self.find(NO_REPORT), [])
         self.assertEqual(self.find(old, data_centre='bangna'), [])
 
-    def test_engine_that_does_not_check_gets_no_order(self) -> None:
+    def test_engine_without_fencing_check_gets_no_order(self) -> None:
         old = EngineReport('one', {'m': 'v1'})
         self.assertEqual(self.find(old, checks=False), [])
 
--- a/tests/cover/test_run_record_model.py
+++ b/tests/cover/test_run_record_model.py
@@ -171,7 +171,7 @@
                     assert runs == 1, f'{key} was said to have run'
 
 
-class TakingOver(RunLedger):
+class ClaimTakingLedger(RunLedger):
     """Treats a claim as void, as if its holder could not resume."""
 
     async def claim(
@@ -185,7 +185,7 @@
         return Claim(run_key, outcome.record, 0)
 
 
-class TrustingLostAnswers(RunLedger):
+class LostAnswerTrustingLedger(RunLedger):
     """Treats a lost answer as a claim that took effect."""
 
     async def claim(
@@ -201,7 +201,7 @@
             return Claim(run_key, record, 0)
 
 
-class VoidingOthers(RunLedger):
+class UncheckedVoidingLedger(RunLedger):
     """Voids a claim without checking which attempt holds it."""
 
     async def _write_state_once(
@@ -219,20 +219,20 @@
         examples = EXAMPLES if ledger is RunLedger else FAULTY_EXAMPLES
         stateful.run_state_machine_as_test(machine, settings=examples)
 
-    def test_runs_at_most_once_and_speaks_the_truth(self) -> None:
+    def test_key_runs_at_most_once_and_is_reported_correctly(self) -> None:
         self.check(RunLedger)
 
-    def test_model_finds_a_claim_taken_over(self) -> None:
+    def test_model_detects_a_claim_that_is_taken_over(self) -> None:
         with self.assertRaises(AssertionError):
-            self.check(TakingOver)
+            self.check(ClaimTakingLedger)
 
-    def test_model_finds_trust_in_a_lost_answer(self) -> None:
+    def test_model_detects_a_lost_answer_taken_for_success(self) -> None:
         with self.assertRaises(AssertionError):
-            self.check(TrustingLostAnswers)
+            self.check(LostAnswerTrustingLedger)
 
-    def test_model_finds_the_voiding_of_others(self) -> None:
+    def test_model_detects_a_voided_claim_of_another_attempt(self) -> None:
         with self.assertRaises(AssertionError):
-            self.check(VoidingOthers)
+            self.check(UncheckedVoidingLedger)
 
 
 if __name__ == '__main__':
