--- a/tests/cover/test_embargo.py
+++ b/tests/cover/test_embargo.py
@@ -32,8 +32,8 @@
 
 class TestEmbargo(unittest.TestCase):
     def setUp(self) -> None:
-        self.machine = ManualClock(START)
-        self.clock = GuardedClock(self.machine, ERROR_SECONDS)
+        self.system_clock = ManualClock(START)
+        self.clock = GuardedClock(self.system_clock, ERROR_SECONDS)
         embargo = Embargo('grid-app', '/answers', RELEASE)
         self.workspace = Workspace('daily', (), (), embargoes=(embargo,))
 
@@ -50,34 +50,34 @@
             return False
         return True
 
-    def test_opens_at_its_release_and_not_before(self) -> None:
-        self.machine.advance(HOUR - 1)
+    def test_path_opens_at_its_release_and_not_before(self) -> None:
+        self.system_clock.advance(HOUR - 1)
         self.assertFalse(self.is_open())
         # The clock may be ahead by the error, so the path stays closed.
-        self.machine.advance(1)
+        self.system_clock.advance(1)
         self.assertFalse(self.is_open())
-        self.machine.advance(1)
+        self.system_clock.advance(1)
         self.assertTrue(self.is_open())
 
-    def test_forward_step_opens_nothing(self) -> None:
-        self.machine.step(2 * HOUR)
+    def test_forward_step_opens_no_path_early(self) -> None:
+        self.system_clock.step(2 * HOUR)
         self.assertFalse(self.is_open())
-        self.machine.advance(HOUR - 5)
+        self.system_clock.advance(HOUR - 5)
         self.assertFalse(self.is_open())
-        self.machine.advance(10)
+        self.system_clock.advance(10)
         self.assertTrue(self.is_open())
 
-    def test_backward_step_opens_it_later(self) -> None:
-        self.machine.step(-HOUR)
-        self.machine.advance(HOUR + 10)
+    def test_backward_step_delays_the_release(self) -> None:
+        self.system_clock.step(-HOUR)
+        self.system_clock.advance(HOUR + 10)
         self.assertFalse(self.is_open())
-        self.machine.advance(HOUR)
+        self.system_clock.advance(HOUR)
         self.assertTrue(self.is_open())
 
-    def test_slow_forward_steps_open_nothing(self) -> None:
+    def test_repeated_forward_steps_open_no_path_early(self) -> None:
         for _ in range(100):
-            self.machine.step(60)
-            self.machine.advance(1)
+            self.system_clock.step(60)
+            self.system_clock.advance(1)
             self.assertFalse(self.is_open())
 
     def test_other_paths_are_open(self) -> None:
--- a/tests/cover/test_suspension.py
+++ b/tests/cover/test_suspension.py
@@ -49,7 +49,7 @@
 
 
 class TestClock(unittest.TestCase):
-    def test_regression_time_goes_on_while_the_machine_is_suspended(self):
+    def test_regression_monotonic_time_includes_suspensions(self):
         for seconds in SUSPENSIONS:
             with self.subTest(seconds=seconds), simulate_machine() as machine:
                 clock = SystemClock()
@@ -57,7 +57,7 @@
                 machine.suspend(seconds)
                 self.assertGreaterEqual(clock.monotonic(), before + seconds)
 
-    def test_time_of_day_after_a_suspension_is_no_step(self):
+    def test_wall_time_after_a_suspension_is_not_capped(self):
         # Otherwise an embargo ends late by the length of the suspension.
         with simulate_machine() as machine:
             clock = SystemClock()
@@ -70,7 +70,7 @@
             ):
                 self.assertEqual(guarded.now(), later)
 
-    def test_step_of_the_time_of_day_still_is_one(self):
+    def test_forward_step_of_wall_time_is_still_capped(self):
         with simulate_machine():
             clock = SystemClock()
             wall = clock.now()
@@ -88,7 +88,7 @@
         with simulate_machine() as machine:
             return run_main(work(machine))
 
-    def test_timeout_that_ran_out_in_a_suspension_ends_with_it(self):
+    def test_timeout_that_expires_in_a_suspension_ends_on_resume(self):
         async def work(machine):
             started_at = time.monotonic()
             with self.assertRaises(TimeoutError):
@@ -102,18 +102,18 @@
         # Seconds of CLOCK_MONOTONIC: the timeout was not waited for again.
         self.assertLess(self.run_suspended(work), 15.0)
 
-    def test_pause_that_ran_out_in_a_suspension_ends_with_it(self):
+    def test_sleep_that_expires_in_a_suspension_ends_on_resume(self):
         async def work(machine):
-            pause = asyncio.create_task(SystemClock().sleep(30.0))
+            sleeping = asyncio.create_task(SystemClock().sleep(30.0))
             await asyncio.sleep(0)
             machine.suspend(30.0)
             await asyncio.sleep(0.01)
             await asyncio.sleep(0)
-            return pause.done()
+            return sleeping.done()
 
         self.assertTrue(self.run_suspended(work))
 
-    def test_loop_and_clock_tell_the_same_time(self):
+    def test_loop_and_clock_return_the_same_time(self):
         async def work(machine):
             machine.suspend(5.0)
             loop = asyncio.get_running_loop()
@@ -121,7 +121,7 @@
 
         self.assertAlmostEqual(self.run_suspended(work), 0.0, delta=1.0)
 
-    def test_ticker_returns_by_how_much_it_was_late(self):
+    def test_ticker_returns_the_delay_of_a_suspension(self):
         async def work(machine):
             ticker = Ticker(SystemClock())
             waiting = asyncio.create_task(ticker.wait(0.1))
@@ -153,7 +153,7 @@
         with simulate_machine() as machine:
             return run_main(run_case(machine))
 
-    def test_key_is_not_served_by_a_view_from_before_the_suspension(self):
+    def test_view_from_before_a_suspension_accepts_no_key(self):
         async def work(machine, fleet):
             before = await fleet.call('/safe/a')
             # The store sends nothing; its last message is 30 s old.
@@ -168,7 +168,7 @@
         self.assertIn(b'not_configured', after.body)
         self.assertFalse(ready)
 
-    def test_loads_of_others_from_before_the_suspension_count_for_nothing(
+    def test_loads_reported_before_a_suspension_are_discarded(
         self,
     ):
         async def work(machine, fleet):
@@ -187,7 +187,7 @@
 
         self.assertEqual(self.run_router(work), 0)
 
-    def test_caller_is_given_no_time_that_passed_in_the_suspension(self):
+    def test_suspension_counts_against_the_deadline_of_a_request(self):
         async def work(machine, fleet):
             upstream = FleetUpstreamStandin('p1')
             upstream.script.append(Behaviour.SILENT)
@@ -212,8 +212,8 @@
 
 
 class TestLease(unittest.TestCase):
-    def order(self, seconds):
-        """Order weights; suspend the machine after the plan is written."""
+    def count_orders(self, seconds):
+        """Suspend the machine after the plan is written; count the orders."""
         with simulate_machine() as machine:
             engines = Engines(RealTimeClock())
             rows = MemoryRows()
@@ -231,8 +231,8 @@
             router.act()
         return len(engines.log)
 
-    def test_no_order_is_sent_by_a_lease_that_is_over(self):
-        self.assertGreater(self.order(0.0), 0)
+    def test_no_order_is_sent_after_the_lease_has_expired(self):
+        self.assertGreater(self.count_orders(0.0), 0)
         for seconds in SUSPENSIONS:
             with self.subTest(seconds=seconds):
-                self.assertEqual(self.order(seconds), 0)
+                self.assertEqual(self.count_orders(seconds), 0)
--- a/tests/cover/test_ticker.py
+++ b/tests/cover/test_ticker.py
@@ -25,7 +25,7 @@
 START = datetime.datetime(2026, 12, 3, tzinfo=datetime.timezone.utc)
 
 
-class NotingClock(ManualClock):
+class RecordingClock(ManualClock):
     """Completes each sleep at once and records its length."""
 
     def __init__(self, late=0.0):
@@ -51,26 +51,26 @@
     def test_wait_ends_at_a_multiple_and_takes_no_longer(
         self, now, phase, period
     ):
-        clock = NotingClock()
+        clock = RecordingClock()
         clock.advance(now)
         self.wait(clock, period, phase=phase)
         (slept,) = clock.sleeps
         self.assertGreater(slept, 0.98 * 0.01 * period)
         self.assertLess(slept, 1.02 * period)
-        beats = (clock.monotonic() - phase) / period
-        self.assertAlmostEqual(beats, round(beats), places=4)
+        ticks = (clock.monotonic() - phase) / period
+        self.assertAlmostEqual(ticks, round(ticks), places=4)
 
-    def test_loops_that_began_at_different_times_wake_together(self):
+    def test_loops_started_at_different_times_wake_together(self):
         ends = set()
         for started_at in (0.013, 0.05, 0.09):
-            clock = NotingClock()
+            clock = RecordingClock()
             clock.advance(started_at)
             self.wait(clock, 0.1)
             ends.add(round(clock.monotonic(), 9))
         self.assertEqual(ends, {0.1})
 
-    def test_late_end_is_told_and_not_made_up_for(self):
-        clock = NotingClock(late=0.25)
+    def test_late_wait_returns_its_delay_and_skips_missed_ticks(self):
+        clock = RecordingClock(late=0.25)
         late = self.wait(clock, 0.1, 0.1)
         self.assertAlmostEqual(late[0], 0.25)
         self.assertAlmostEqual(clock.monotonic(), 0.4 + 0.25)
