--- a/tests/nocover/test_configuration.py
+++ b/tests/nocover/test_configuration.py
@@ -81,7 +81,7 @@
 
 
 class TestAcceptance(ConfigurationTestCase):
-    def test_time_from_acceptance_to_force_everywhere(self) -> None:
+    def test_accepted_change_is_applied_by_every_router(self) -> None:
         plan_id = self.plan(workspace('daily', [SILOM, BANGNA], priority=2))
         started = time.monotonic()
         self.assertEqual(self.confirm(plan_id).status, 200)
@@ -89,7 +89,7 @@
             wait_until(lambda: router.status()['revision'] == 2)
         print(f'in force {time.monotonic() - started:.2f} s after confirm')
 
-    def test_paused_router_holds_a_change_up_visibly(self) -> None:
+    def test_change_waits_for_a_paused_router_and_names_it(self) -> None:
         # The VM still exists, so the process may resume at any moment and
         # serve by its old view. The change must not be accepted without it.
         plan_id = self.plan(workspace('daily', [SILOM]))
@@ -104,7 +104,7 @@
         # The paused router enforced the change before it was accepted.
         self.assertEqual(self.call(self.bangna), 421)
 
-    def test_gone_vm_holds_nothing_up(self) -> None:
+    def test_change_does_not_wait_for_a_router_whose_vm_is_gone(self) -> None:
         # A VM counts as gone only once the VM list, which lags, has shown it.
         vms = {f'vm-{name}': 'live' for name in self.deployment.routers}
         self.deployment.set_vms(**vms)
@@ -115,8 +115,8 @@
         del vms[f'vm-{BANGNA}-1']
         self.deployment.set_vms(**vms)
         wait_until(lambda: self.get_state(plan_id) == 'accepted')
-        left = [f'{SILOM}/{SILOM}-1']
-        wait_until(lambda: self.silom.status()['routers'] == left)
+        remaining = [f'{SILOM}/{SILOM}-1']
+        wait_until(lambda: self.silom.status()['routers'] == remaining)
 
     def all_listed(self) -> bool:
         reply = request(
@@ -128,7 +128,7 @@
         routers = reply.json()['rows'][0]['value']['routers']
         return all(item['listed'] for item in routers)
 
-    def test_vm_that_was_never_listed_is_not_taken_for_gone(self) -> None:
+    def test_change_waits_for_a_router_whose_vm_was_never_listed(self) -> None:
         self.deployment.set_vms(**{f'vm-{SILOM}-1': 'live'})
         plan_id = self.plan(workspace('daily', [SILOM]))
         self.bangna.process.send_signal(signal.SIGSTOP)
@@ -144,7 +144,7 @@
         self.bangna.process.send_signal(signal.SIGCONT)
         self.assertEqual(reply.status, 200)
 
-    def test_lost_answers_to_confirm(self) -> None:
+    def test_confirm_is_idempotent_after_lost_answers(self) -> None:
         plan_id = self.plan(workspace('daily', [SILOM, BANGNA], priority=1))
         self.deployment.set_faults('table', drop_answers=3)
         self.confirm(plan_id)
@@ -185,7 +185,7 @@
             fresh = again.error['fresh_plan']
             self.assertEqual(fresh['base'], 2)
 
-    def test_withdrawn_plan_is_obeyed_no_longer(self) -> None:
+    def test_withdrawn_plan_is_no_longer_enforced(self) -> None:
         plan_id = self.plan(workspace('daily', [SILOM]))
         self.bangna.process.send_signal(signal.SIGSTOP)
         self.confirm(plan_id, 0.5)
@@ -197,7 +197,7 @@
         wait_until(lambda: self.call(self.bangna) == 200)
         self.assertEqual(self.confirm(plan_id).status, 409)
 
-    def test_bad_plans_name_the_field(self) -> None:
+    def test_refusal_of_an_invalid_plan_names_the_field(self) -> None:
         taken = workspace('other', [SILOM])
         taken['body']['token_digests'] = [digest(TOKEN)]
         for change, field in (
@@ -244,7 +244,7 @@
         self.bangna.wait_ready()
         self.deployment.configure_usual()
 
-    def test_goes_on_serving_and_nothing_is_accepted_behind_it(self) -> None:
+    def test_cut_off_router_serves_and_blocks_acceptance(self) -> None:
         self.relay.cut()
         plan_id = self.plan(workspace('daily', [SILOM]))
         reply = self.confirm(plan_id, 1.0)
@@ -255,7 +255,9 @@
         wait_until(lambda: self.get_state(plan_id) == 'accepted')
         self.assertEqual(self.call(self.bangna), 421)
 
-    def test_obeys_the_stricter_of_both_while_it_cannot_know(self) -> None:
+    def test_both_documents_are_enforced_until_the_decision_is_known(
+        self,
+    ) -> None:
         # The router acknowledges the plan and loses the table before it learns
         # the decision.
         plan_id = self.plan(workspace('daily', [SILOM]))
@@ -273,17 +275,20 @@
         time.sleep(1.0)
         self.assertEqual(self.call(self.bangna), 421)
 
-    def test_embargo_is_the_later_one_while_it_cannot_know(self) -> None:
+    def test_later_embargo_is_enforced_until_the_decision_is_known(
+        self,
+    ) -> None:
         # One embargo is moved earlier and one later, and the router loses the
         # table between its acknowledgement and the decision. The path must
         # stay closed to both workspaces.
         past, future = '2020-01-01T00:00:00Z', '2999-01-01T00:00:00Z'
-        self.deployment.configure([self.embargo('sooner', future)])
-        self.deployment.configure([self.embargo('later', past)])
+        self.deployment.configure([self.make_embargoed('sooner', future)])
+        self.deployment.configure([self.make_embargoed('later', past)])
         self.assertEqual(self.call(self.bangna, 'sooner-token'), 403)
         self.assertEqual(self.call(self.bangna, 'later-token'), 200)
         plan_id = self.plan(
-            self.embargo('sooner', past), self.embargo('later', future)
+            self.make_embargoed('sooner', past),
+            self.make_embargoed('later', future),
         )
         self.silom.process.send_signal(signal.SIGSTOP)
         self.confirm(plan_id, 0.5, self.bangna)
@@ -300,15 +305,17 @@
         wait_until(lambda: self.call(self.bangna, 'sooner-token') == 200)
         self.assertEqual(self.call(self.bangna, 'later-token'), 403)
 
-    def embargo(self, name: str, release: str) -> dict:
-        closed = {
+    def make_embargoed(self, name: str, release: str) -> dict:
+        embargo = {
             'service': 'grid-app',
             'path_prefix': '/x',
             'release': release,
         }
-        return workspace(name, [SILOM, BANGNA], embargoes=[closed])
+        return workspace(name, [SILOM, BANGNA], embargoes=[embargo])
 
-    def test_switch_of_weights_is_held_and_then_refused(self) -> None:
+    def test_request_during_a_switch_of_weights_waits_and_is_refused(
+        self,
+    ) -> None:
         plan_id = self.plan(model('v2'))
         self.silom.process.send_signal(signal.SIGSTOP)
         self.confirm(plan_id, 0.5, self.bangna)
@@ -346,7 +353,9 @@
         self.assertEqual(self.call(router), 200)
         return time.monotonic() - started
 
-    def test_herd_restart_with_the_table_out(self) -> None:
+    def test_routers_that_restart_in_an_outage_get_the_configuration(
+        self,
+    ) -> None:
         routers = list(self.deployment.routers.values())
         running, *restarted = routers[:3]
         for router in restarted:
@@ -354,7 +363,7 @@
         self.deployment.set_faults('table', refuse=1_000_000)
         for router in restarted:
             seconds = self.restart(router, [running.peers])
-            print(f'served {seconds:.2f} s after its start, table out')
+            print(f'served {seconds:.2f} s after its start, table unavailable')
             self.assertEqual(router.status()['revision'], 1)
         self.deployment.set_faults('table')
 
@@ -363,7 +372,7 @@
 
         wait_until(all_registered)
 
-    def test_router_struck_off_the_list_registers_again(self) -> None:
+    def test_router_removed_from_the_list_registers_again(self) -> None:
         router = f'{SILOM}/{SILOM}-1'
         table = self.deployment.addresses['table']
         write = {'key': 'membership/members', 'value': {'routers': []}}
@@ -388,7 +397,7 @@
 
         wait_until(is_listed)
 
-    def test_stale_peer_does_not_win_over_a_newer_one(self) -> None:
+    def test_stale_peer_does_not_replace_a_newer_revision(self) -> None:
         one, stale, new = list(self.deployment.routers.values())[:3]
         stale.process.send_signal(signal.SIGSTOP)
         new.process.kill()
@@ -412,7 +421,7 @@
         wait_until(lambda: new.status()['revision'] == 2)
         self.deployment.set_faults('table')
 
-    def test_new_router_is_covered_by_its_sponsor(self) -> None:
+    def test_change_waits_for_a_sponsored_router(self) -> None:
         # Only the new router has lost the table. A change must wait for it,
         # although it could not register.
         relay = Relay(self.deployment.addresses['table'])
--- a/tests/nocover/test_engines.py
+++ b/tests/nocover/test_engines.py
@@ -86,7 +86,7 @@
         other = self.complete('other-token')
         self.assertEqual(self.count_cached(other), 0)
 
-    def test_caller_cannot_choose_anothers_salt(self) -> None:
+    def test_equal_salts_of_two_workspaces_share_no_cache(self) -> None:
         self.deployment.configure([workspace('other', ['bkk-silom'])])
         bodies = [
             {
@@ -294,19 +294,19 @@
             self.assertEqual(reply.status, 200)
         self.assertEqual(self.count_requests(), before)
 
-    def test_vm_marked_as_leaving(self) -> None:
+    def test_engine_on_a_leaving_vm_gets_no_new_requests(self) -> None:
         self.deployment.set_vms(**{f'vm-{self.engine}': 'leaving'})
         started = time.monotonic()
         self.check_no_new_requests()
         print(f'excluded {time.monotonic() - started:.2f} s after the list')
 
-    def test_vm_removed_from_the_list(self) -> None:
+    def test_engine_on_a_removed_vm_gets_no_new_requests(self) -> None:
         self.deployment.set_vms(**{f'vm-{self.engine}': 'live'})
         time.sleep(0.8)
         self.deployment.set_vms()
         self.check_no_new_requests()
 
-    def test_report_of_draining(self) -> None:
+    def test_engine_that_reports_draining_gets_no_new_requests(self) -> None:
         address = self.deployment.addresses[self.engine]
         request(address, 'POST', '/lifttrestle/drain', content={})
         self.check_no_new_requests()
--- a/tests/nocover/test_streams.py
+++ b/tests/nocover/test_streams.py
@@ -137,7 +137,7 @@
         self.assertEqual(text, expected)
         self.assertIn("answered request 'another-request'", decision)
 
-    def test_stream_that_ends_early_under_a_200_is_resumed(self) -> None:
+    def test_stream_that_ends_early_with_status_200_is_resumed(self) -> None:
         expected, _ = self.read_with_decision('early?')
         self.set_engine_faults(end_at_token=6)
         text, decision = self.read_with_decision('early?')
