--- a/src/lifttrestle/internal/membership/exchange.py
+++ b/src/lifttrestle/internal/membership/exchange.py
@@ -92,7 +92,7 @@
             except pynng.Closed:
                 return
             except (pynng.NNGException, msgspec.MsgspecError) as error:
-                LOG.warning('peers: a greeting was not answered: %s', error)
+                LOG.warning('peers: failed to answer a greeting: %s', error)
 
     async def greet_random_peers(self, now: float) -> None:
         """Greet a few randomly chosen peers and apply their replies."""
--- a/tests/cover/test_keeper.py
+++ b/tests/cover/test_keeper.py
@@ -44,7 +44,8 @@
         while not poll.done():
             for call in list(gate.calls):
                 await gate.decide(call, Fate.ANSWERED)
-            # Also after the last answer, which the keeper applies next.
+            # The peer sends it after each answer, and so also after the last
+            # one, which the keeper processes only when the loop settles.
             if gate.scans:
                 keeper.apply_document(1, NEWER, None)
             await settle_loop()
