--- a/src/lifttrestle/internal/fleet/state/reach.py
+++ b/src/lifttrestle/internal/fleet/state/reach.py
@@ -16,9 +16,9 @@
 
 NEVER = float('-inf')
 # Interval between probes of an address that is unreachable or silent, or has
-# broken off an answer. A network partition of five seconds then ends for
-# callers within half a second of its end, and costs about ten connections per
-# address and router.
+# broken off an answer. Requests are sent to it again within half a second of
+# the end of a network partition. A partition of five seconds costs about ten
+# connections per address and router.
 PROBE_SECONDS = 0.4
 # Minimum interval between probes of an address that accepts connections but is
 # suspected: late answers also have other causes than a network partition.
@@ -34,7 +34,7 @@
     probe.
 
     :ivar unreachable: whether the last connection failed.
-    :ivar suspected: whether it may be unreachable and is to be probed.
+    :ivar suspected: whether it may be unreachable and has to be probed.
     :ivar connection_lost: whether it broke off an answer and has not been
         probed since.
     :ivar probed_at: monotonic time of the last probe.
@@ -60,7 +60,7 @@
         self.connection_lost = False
 
     def note_connection_lost(self) -> None:
-        """Record that it broke off an answer, to have it probed at once."""
+        """Record that it broke off an answer; it is probed soon."""
         self.connection_lost = True
 
     def suspect(self) -> None:
--- a/src/lifttrestle/internal/fleet/state/reach_probing.py
+++ b/src/lifttrestle/internal/fleet/state/reach_probing.py
@@ -10,11 +10,11 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Probes which addresses are reachable, with connections of its own.
+"""Opens connections to find out which addresses are reachable.
 
 When an upstream is unreachable, others in its data centre and the cache store
-there may be cut off too. They are probed, so that not each of them has to fail
-a caller's request first.
+there may be unreachable too. A probe finds this out before a caller's request
+fails at each of them.
 """
 
 import asyncio
@@ -41,9 +41,9 @@
 # (0.1 s), so two rounds cover a data centre that is cut off.
 MAX_PROBES = 8
 # Fraction of the upstreams of a data centre that must be unreachable before
-# the others are probed: one of ten has crashed by itself. Without this limit,
-# with 82 routers, the probes for five crashed engines of thirty raised the
-# connections of a day from 3,507 to 10,547.
+# the others are probed: if only one of ten is, it has probably crashed.
+# Without this limit, with 82 routers, the probes for five crashed engines of
+# thirty raised the connections of a day from 3,507 to 10,547.
 PARTITION_SHARE = 0.2
 
 
@@ -72,7 +72,7 @@
         try:
             while True:
                 await ticker.wait(POLL_SECONDS)
-                self.begin_probes()
+                self.start_probes()
         finally:
             for probe in self._probes.values():
                 probe.cancel()
@@ -80,7 +80,7 @@
                 *self._probes.values(), return_exceptions=True
             )
 
-    def begin_probes(self) -> None:
+    def start_probes(self) -> None:
         """Start a probe of each address that is due."""
         now = self._clock.monotonic()
         upstreams = [item for item in self._directory if not item.misdirected]
@@ -88,12 +88,12 @@
         for upstream in upstreams:
             silent = upstream.is_silent(now)
             if upstream.reach.is_due(now, silent=silent):
-                self._begin(upstream.start, upstream.reach, upstream.pool)
+                self._start(upstream.start, upstream.reach, upstream.pool)
         for store in self._stores:
             if store.reach.is_due(now):
-                self._begin(store.address, store.reach, store.pool)
+                self._start(store.address, store.reach, store.pool)
 
-    def _begin(self, name: str, reach: Reachability, pool: ClientPool) -> None:
+    def _start(self, name: str, reach: Reachability, pool: ClientPool) -> None:
         if name in self._probes or len(self._probes) >= MAX_PROBES:
             return
         reach.probed_at = self._clock.monotonic()
@@ -113,7 +113,7 @@
             if not before:
                 LOG.info('reach.lost', target=name, reason=str(error))
             return
-        # The next request to that address reuses the connection.
+        # The next request to this address reuses the connection.
         pool.give_back(connection)
         reach.note_reachable(self._clock.monotonic())
         self.on_probed(name, True, False)
@@ -130,9 +130,9 @@
     stores: Iterable[CacheStore],
     now: float,
 ) -> None:
-    """Suspect the addresses in a data centre that may be cut off.
+    """Suspect the addresses in data centres that may be cut off.
 
-    Upstreams that have just sent something are left out.
+    Upstreams that have just sent something are not suspected.
     """
     listed = list(upstreams)
     if not any(item.reach.unreachable for item in listed):
--- a/tests/cover/test_reach.py
+++ b/tests/cover/test_reach.py
@@ -85,7 +85,7 @@
 
     async def _poll(self, seconds=PROBE_SECONDS):
         self.clock.advance(seconds)
-        self.prober.begin_probes()
+        self.prober.start_probes()
         for _ in range(4):
             await asyncio.sleep(0)
 
