--- a/src/lifttrestle/internal/fleet/state/cache_stores.py
+++ b/src/lifttrestle/internal/fleet/state/cache_stores.py
@@ -65,7 +65,10 @@
         return store
 
     def suspect(self, address: str) -> None:
-        """Schedule a probe of a store after a late answer of its reader."""
+        """Schedule a probe of a store.
+
+        Called when an engine that reads from the store answers late.
+        """
         store = self._stores.get(address)
         if store is not None:
             store.reach.suspect()
--- a/src/lifttrestle/internal/fleet/state/catalogue.py
+++ b/src/lifttrestle/internal/fleet/state/catalogue.py
@@ -206,8 +206,8 @@
         The slowest link determines it. None if the size of the KV cache or
         the bandwidth of a link is unknown.
         """
-        facts = self.services.get(service)
-        engine = facts.engine if facts is not None else None
+        configured = self.services.get(service)
+        engine = configured.engine if configured is not None else None
         if engine is None or not engine.token_bytes:
             return None
         links = [engine.link_megabits]
--- a/src/lifttrestle/internal/fleet/state/directory.py
+++ b/src/lifttrestle/internal/fleet/state/directory.py
@@ -33,17 +33,18 @@
 from lifttrestle.internal.telemetry.event_log import get_event_log
 
 LOG = get_event_log('upstreams')
-# A connection opens in a few ms within the fleet, and within 50 between
-# regions. A lost SYN is retransmitted after a second, so waiting between 0.1
-# and a second gains nothing. A request to an upstream behind a network
-# partition is then still answered in time by another one (0.15 to 0.6 s).
+# A connection opens in a few ms within the fleet, and within 50 ms between
+# regions. A lost SYN is retransmitted after a second, so a timeout between
+# 0.1 s and a second gains nothing. With this one, a request to an upstream
+# behind a network partition is still answered in time by another upstream
+# (0.15 to 0.6 s).
 CONNECT_SECONDS = 0.1
 # Entries of live upstreams expire during an outage of the store and return
-# within two seconds of its end. Until a little before that, an upstream whose
-# entry has expired stays in use.
+# within two seconds of its end. An upstream whose entry has expired stays in
+# use for slightly less than that.
 OUTAGE_GRACE_SECONDS = 1.8
 # Names are sent in a header: other characters would end or corrupt it.
-INSTANCE = re.compile(r'[!-~]{1,200}')
+INSTANCE_PATTERN = re.compile(r'[!-~]{1,200}')
 
 
 class UpstreamDirectory:
@@ -102,14 +103,14 @@
         """Apply a changed row of the list."""
         self.changes += 1
         if row.value is None:
-            self._note_removed(row.key)
+            self._handle_removal(row.key)
             return
         try:
             entry = self._format.decode_upstream(row.key, row.value)
             _check_names(entry)
         except ValueError as error:
             self._refusals.report('upstreams', row.key, error)
-            self._drop(row.key)
+            self._withdraw(row.key)
             return
         known = self._known.get(row.key)
         if known is None:
@@ -123,7 +124,7 @@
         born: int | None,
         weights: dict[str, int],
     ) -> bool:
-        """Record that a start of an upstream has answered.
+        """Apply the start time that an upstream reported in an answer.
 
         :param born: start time in Unix milliseconds, None if not reported.
         :param weights: versions that it holds, by model.
@@ -166,14 +167,14 @@
                 known.note_weights(model, version, now)
 
     def _replace(self, known: FleetUpstream, entry: UpstreamEntry) -> None:
-        """Discard the state of a start; another one now has its name."""
+        """Replace a start and its state by the one that has its name now."""
         LOG.info(
             'upstream.started_again',
             instance=entry.instance,
             born=entry.born,
             before=known.entry.born,
         )
-        self._forget(known, StartEnd.REPLACED)
+        self._remove(known, StartEnd.REPLACED)
         self._add(entry)
 
     def _add(self, entry: UpstreamEntry) -> None:
@@ -198,11 +199,11 @@
             weights=entry.weights,
         )
 
-    def _drop(self, instance: str) -> None:
+    def _withdraw(self, instance: str) -> None:
         """Remove an upstream whose entry is no longer valid."""
         known = self._known.get(instance)
         if known is not None:
-            self._forget(known, StartEnd.WITHDRAWN)
+            self._remove(known, StartEnd.WITHDRAWN)
 
     def list_available(self, service: str) -> list[FleetUpstream]:
         """Return the upstreams of a service that accept new work."""
@@ -220,14 +221,14 @@
         for upstream in self._known.values():
             upstream.pool.close()
 
-    def _note_removed(self, instance: str) -> None:
+    def _handle_removal(self, instance: str) -> None:
         known = self._known.get(instance)
         if known is None:
             return
         known.vanished_at = self._clock.monotonic()
         LOG.info('upstream.entry_removed', instance=instance)
         if not self._may_return(known):
-            self._forget(known, _classify_end(known))
+            self._remove(known, _classify_end(known))
 
     def _may_return(self, upstream: FleetUpstream) -> bool:
         if upstream.entry.draining:
@@ -237,16 +238,16 @@
         )
 
     def _forget_lapsed(self) -> None:
-        lapsed = [
+        expired = [
             upstream
             for upstream in self._known.values()
             if upstream.vanished_at is not None
             and not self._may_return(upstream)
         ]
-        for upstream in lapsed:
-            self._forget(upstream, _classify_end(upstream))
+        for upstream in expired:
+            self._remove(upstream, _classify_end(upstream))
 
-    def _forget(self, upstream: FleetUpstream, end: StartEnd) -> None:
+    def _remove(self, upstream: FleetUpstream, end: StartEnd) -> None:
         self.changes += 1
         self._known.pop(upstream.instance, None)
         self._starts.pop(upstream.start, None)
@@ -275,7 +276,7 @@
     :raises ValueError: if one of them is not valid.
     """
     parse_address(entry.address)
-    if INSTANCE.fullmatch(entry.instance) is None:
+    if INSTANCE_PATTERN.fullmatch(entry.instance) is None:
         raise ValueError(
             f'{entry.instance!r} is not a valid instance name; use 1 to 200'
             ' printable ASCII characters without spaces'
--- a/src/lifttrestle/internal/fleet/state/operator_view.py
+++ b/src/lifttrestle/internal/fleet/state/operator_view.py
@@ -22,14 +22,12 @@
 from lifttrestle.internal.telemetry.event_log import get_event_log
 
 LOG = get_event_log('view')
-
-
 # A router must meet the limit on the use of old weights from three seconds
-# after its start. Versions that were set before the start are assumed to be
-# that much younger than the limit allows.
+# after its start. A version that was set before the start is assumed to be so
+# old that the weights it replaced may be used for these three seconds only.
 START_GRACE_SECONDS = 3.0
-# Versions that are kept of each model: at one every two seconds, those of
-# the last hundred seconds, ten times as long as old weights may be used.
+# Target versions that are kept per model. At one every two seconds they cover
+# a hundred seconds, ten times as long as old weights may be used.
 MAX_TARGET_VERSIONS = 50
 
 
