--- a/src/lifttrestle/internal/fleet/state/aggregator_choice.py
+++ b/src/lifttrestle/internal/fleet/state/aggregator_choice.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Selects the aggregators of loads from the view of one router."""
+"""Selects the aggregator to which a router reports its loads."""
 
 from lifttrestle.internal.clock.clock import Clock
 from lifttrestle.internal.fleet.policy.load_exchange import choose_aggregator
@@ -21,7 +21,7 @@
 LOG = get_event_log('peers')
 # If a query is unanswered for this long, another aggregator is chosen. Answers
 # take a few ms, and 0.1 s from a busy router.
-SILENT_SECONDS = 0.25
+TIMEOUT_SECONDS = 0.25
 # How long a silent aggregator is avoided. A killed router is back after about
 # two seconds.
 AVOID_SECONDS = 3.0
@@ -43,7 +43,7 @@
         self._remote_counts: dict[str, int] = {}
 
     def choose(self) -> str:
-        """Return the router to which loads are reported now."""
+        """Return the router to report to; a silent one is replaced."""
         self._update_groups()
         now = self._clock.monotonic()
         silent = self._is_silent(now)
@@ -62,15 +62,15 @@
     def _is_silent(self, now: float) -> bool:
         if self._query_since is None:
             return False
-        return now - self._query_since > SILENT_SECONDS
+        return now - self._query_since > TIMEOUT_SECONDS
 
     def note_query(self) -> None:
-        """Note a query to the chosen router."""
+        """Record that a query was sent to the chosen router."""
         if self._query_since is None:
             self._query_since = self._clock.monotonic()
 
     def note_answer(self, key: str) -> bool:
-        """Note an answer; return whether the chosen router sent it."""
+        """Record an answer; return whether the chosen router sent it."""
         if key != self._chosen:
             return False
         self._query_since = None
--- a/src/lifttrestle/internal/fleet/state/fresh_sum.py
+++ b/src/lifttrestle/internal/fleet/state/fresh_sum.py
@@ -42,7 +42,7 @@
     def __init__(self, get_fresh_seconds: Callable[[], float]) -> None:
         self._get_fresh_seconds = get_fresh_seconds
         self._received: dict[str, ReceivedMessage] = {}
-        self._running: collections.Counter[int] = collections.Counter()
+        self._in_flight: collections.Counter[int] = collections.Counter()
         self._unread: collections.Counter[int] = collections.Counter()
 
     def __len__(self) -> int:
@@ -54,10 +54,12 @@
         return vm in self._received
 
     def update(self, message: LoadReport | GroupSum, now: float) -> bool:
-        """Keep a message unless a newer one has arrived; return if it is kept.
+        """Keep a message unless a newer one has arrived.
 
-        After a restart a router numbers its messages from the start. Its last
-        message is stale by then.
+        A restarted router numbers its messages from one again; the last
+        message from before the restart is stale by then.
+
+        :return: whether the message was kept.
         """
         previous = self._received.get(message.vm)
         if previous is not None:
@@ -93,20 +95,20 @@
         return self._received[vm].message.number
 
     def list_loads(self) -> list[UpstreamLoad]:
-        """Return the sum by upstream start, without those at zero."""
+        """Return the sum by upstream start, omitting starts at zero."""
         return [
-            UpstreamLoad(digest, running, self._unread[digest])
-            for digest, running in self._running.items()
-            if running or self._unread[digest]
+            UpstreamLoad(digest, in_flight, self._unread[digest])
+            for digest, in_flight in self._in_flight.items()
+            if in_flight or self._unread[digest]
         ]
 
     def _add(self, loads: list[UpstreamLoad], sign: int) -> None:
         for load in loads:
             digest = load.digest
-            self._running[digest] += sign * load.in_flight
+            self._in_flight[digest] += sign * load.in_flight
             self._unread[digest] += sign * load.unread_tokens
-            if not self._running[digest] and not self._unread[digest]:
+            if not self._in_flight[digest] and not self._unread[digest]:
                 # Upstreams start and stop while the router runs, so entries
                 # at zero would accumulate.
-                del self._running[digest]
+                del self._in_flight[digest]
                 del self._unread[digest]
--- a/src/lifttrestle/internal/fleet/state/load_aggregation.py
+++ b/src/lifttrestle/internal/fleet/state/load_aggregation.py
@@ -30,15 +30,16 @@
 from lifttrestle.internal.fleet.usage.messages import LevelEntry
 from lifttrestle.internal.fleet.usage.messages import UsedEntry
 
-# Prefixes that are forwarded in one message.
+# Shared parts that are forwarded in one message.
 MAX_MESSAGE_PARTS = 200
-# Prefixes that are kept for later queries: those of about two seconds after a
-# change of weights, when engines behind 195 routers compute 1,000 a second.
+# Shared parts that are kept for later queries: those of about two seconds
+# after a change of weights, when engines behind 195 routers compute 1,000 a
+# second.
 MAX_LOGGED_PARTS = 2000
 
 
 class PartLog:
-    """Bounded log of shared prefixes; each receiver has its own position."""
+    """Bounded log of shared parts; each receiver has its own position."""
 
     def __init__(self) -> None:
         self._items: collections.deque[int] = collections.deque(
@@ -84,8 +85,8 @@
         self._groups = FreshSum(get_fresh_seconds)
         self._group_parts = PartLog()
         self._fleet_parts = PartLog()
-        # Log positions up to which the other groups and each member have been
-        # sent the prefixes.
+        # Positions in the logs up to which the parts have been sent to the
+        # other groups and to each member.
         self._group_position = 0
         self._member_positions: dict[str, int] = {}
 
@@ -147,35 +148,35 @@
 def sum_loads(
     load_lists: Iterable[list[UpstreamLoad]],
 ) -> list[UpstreamLoad]:
-    """Return the sum by upstream start, without those at zero."""
-    running: collections.Counter[int] = collections.Counter()
+    """Return the sum by upstream start, omitting starts at zero."""
+    in_flight: collections.Counter[int] = collections.Counter()
     unread: collections.Counter[int] = collections.Counter()
     for loads in load_lists:
         for load in loads:
-            running[load.digest] += load.in_flight
+            in_flight[load.digest] += load.in_flight
             unread[load.digest] += load.unread_tokens
     return [
-        UpstreamLoad(digest, count, unread[digest])
-        for digest, count in running.items()
-        if count or unread[digest]
+        UpstreamLoad(digest, total, unread[digest])
+        for digest, total in in_flight.items()
+        if total or unread[digest]
     ]
 
 
 def subtract_loads(
-    whole: list[UpstreamLoad], part: list[UpstreamLoad]
+    total: list[UpstreamLoad], own: list[UpstreamLoad]
 ) -> list[UpstreamLoad]:
-    """Return ``whole`` minus ``part``, at least zero for each start.
+    """Return ``total`` minus ``own``, at least zero for each start.
 
-    ``part`` may differ from the loads that ``whole`` includes.
+    ``own`` may differ from the own loads that ``total`` includes.
     """
-    own = {load.digest: load for load in part}
+    own_by_digest = {load.digest: load for load in own}
     rest = []
-    for load in whole:
-        own_load = own.get(load.digest)
+    for load in total:
+        own_load = own_by_digest.get(load.digest)
         if own_load is None:
             rest.append(load)
             continue
-        running = max(load.in_flight - own_load.in_flight, 0)
+        in_flight = max(load.in_flight - own_load.in_flight, 0)
         unread = max(load.unread_tokens - own_load.unread_tokens, 0)
-        rest.append(UpstreamLoad(load.digest, running, unread))
+        rest.append(UpstreamLoad(load.digest, in_flight, unread))
     return rest
--- a/src/lifttrestle/internal/fleet/state/load_ledger.py
+++ b/src/lifttrestle/internal/fleet/state/load_ledger.py
@@ -56,11 +56,11 @@
     def update(
         self, sender: str, number: int, loads: list[UpstreamLoad]
     ) -> None:
-        """Apply a report unless a newer one has arrived before it."""
+        """Apply a report unless a newer one has already arrived."""
         now = self._clock.monotonic()
         previous = self._received.get(sender)
-        # After a restart a router numbers its reports from the start. Its old
-        # report is stale by then.
+        # A restarted router numbers its reports from one again; the last
+        # report from before the restart is stale by then.
         if previous is not None and previous.number > number:
             if now - previous.received_at < self._get_fresh_seconds():
                 return
@@ -75,7 +75,7 @@
         self._received.pop(sender, None)
 
     def rebuild(self) -> None:
-        """Sum all fresh reports anew and leave the stale ones out."""
+        """Compute the sums from all fresh reports."""
         self._rebuilt_at = self._clock.monotonic()
         latest = self._rebuilt_at - self._get_fresh_seconds()
         for upstream in self._directory:
@@ -106,7 +106,7 @@
                 continue
             # The sums of an upstream that was removed and added again start
             # from zero. The next rebuild corrects them.
-            running = upstream.peers_in_flight + sign * load.in_flight
+            in_flight = upstream.peers_in_flight + sign * load.in_flight
             unread = upstream.peers_unread + sign * load.unread_tokens
-            upstream.peers_in_flight = max(running, 0)
+            upstream.peers_in_flight = max(in_flight, 0)
             upstream.peers_unread = max(unread, 0)
--- a/src/lifttrestle/internal/fleet/state/load_messages.py
+++ b/src/lifttrestle/internal/fleet/state/load_messages.py
@@ -50,10 +50,10 @@
     """All loads of one router; replaces its previous report.
 
     :ivar number: sequence number of the report.
-    :ivar parts: shared prefixes that engines computed recently; only those
-        that no earlier report contained.
+    :ivar parts: shared parts that engines computed recently; only those that
+        no earlier report contained.
     :ivar for_aggregator: the receiver aggregates it with other reports.
-    :ivar is_query: the receiver sends the sum of the fleet back at once.
+    :ivar is_query: the receiver answers at once with the sum of the fleet.
     :ivar usage: usage of workspaces, None if it is not reported.
     """
 
--- a/src/lifttrestle/internal/fleet/state/peer_loads.py
+++ b/src/lifttrestle/internal/fleet/state/peer_loads.py
@@ -64,14 +64,14 @@
 # How long a placement decision waits for the sum. A query and its answer cross
 # the data centre once each, 2 ms; the first token may take 500 ms.
 ANSWER_SECONDS = 0.01
-# Report period of a router without load in a large fleet. It queries the sum
-# before it chooses an engine. With 195 routers and 410 streams a second of
+# Report period of a router without load in a large fleet; it still queries the
+# sum before it chooses an engine. With 195 routers and 410 streams a second of
 # 0.3 s, half of the routers have no load.
 IDLE_REPORT_SECONDS = 1.0
 # Sender under which the ledger keeps the sum of all other routers.
 OTHER_ROUTERS = ''
-# Own reports that a received sum may still include: those of about two
-# seconds.
+# Own reports that are kept because a received sum may still include them:
+# those of about two seconds.
 MAX_OWN_REPORTS = 32
 
 
@@ -79,7 +79,7 @@
     """Reports the loads of this router and applies those of the others.
 
     :param vm: VM of this router.
-    :param parts: shared prefixes that engines computed recently.
+    :param parts: shared parts that engines computed recently.
     """
 
     def __init__(
@@ -121,7 +121,7 @@
         self.add_handler(FleetSum, self._handle_fleet_sum)
 
     def note_change(self) -> None:
-        """Note a large change of load; a report is sent soon."""
+        """Schedule a report after a large change of load."""
         self._load_changed.set()
 
     def _handle_report(self, report: LoadReport) -> None:
@@ -185,7 +185,7 @@
         return self._report_pacer.get_regular_seconds(self._count_reporters())
 
     def _get_regular_seconds(self) -> float:
-        """Return the seconds to the next report without a large change."""
+        """Return how long to wait for a large change before a report."""
         if uses_aggregation(self._roster.live) and not self._reported_load:
             return IDLE_SECONDS if self._usage.in_use else IDLE_REPORT_SECONDS
         return self.get_report_seconds()
@@ -250,7 +250,7 @@
         return True
 
     def is_current(self) -> bool:
-        """Return whether the known loads are recent enough to choose by."""
+        """Return whether the known loads are recent enough for a choice."""
         if not uses_aggregation(self._roster.live):
             return True
         return (
@@ -289,8 +289,8 @@
             async with asyncio.timeout(ANSWER_SECONDS):
                 await self._sum_received.wait()
         except TimeoutError:
-            # The last known loads are used. An aggregator that stays silent
-            # is logged when another one is chosen.
+            # The choice uses the last known loads. AggregatorChoice logs an
+            # aggregator that stays silent.
             LOG.debug('peers.no_sum')
 
     def _send_report(self, *, is_query: bool = False) -> None:
--- a/tests/cover/test_load_sums.py
+++ b/tests/cover/test_load_sums.py
@@ -29,7 +29,7 @@
 from lifttrestle.internal.fleet.policy.usage_caps import UsageCap
 from lifttrestle.internal.fleet.policy.usage_caps import UsageUnit
 from lifttrestle.internal.fleet.settings import Promises
-from lifttrestle.internal.fleet.state.aggregator_choice import SILENT_SECONDS
+from lifttrestle.internal.fleet.state.aggregator_choice import TIMEOUT_SECONDS
 from lifttrestle.internal.fleet.state.catalogue import Workspace
 from lifttrestle.internal.fleet.state.directory import UpstreamDirectory
 from lifttrestle.internal.fleet.state.fresh_sum import FreshSum
@@ -320,10 +320,10 @@
         first = router.loads._choice.choose()
         fleet.down = {first.removeprefix('router/')}
         router.loads._send_report(is_query=True)
-        fleet.clock.advance(SILENT_SECONDS + 0.01)
+        fleet.clock.advance(TIMEOUT_SECONDS + 0.01)
         self.assertNotEqual(router.loads._choice.choose(), first)
         regular = router.loads.get_report_seconds()
-        self.assertLess(regular + SILENT_SECONDS, FRESH_SECONDS)
+        self.assertLess(regular + TIMEOUT_SECONDS, FRESH_SECONDS)
 
     def test_sum_of_another_router_replaces_one_with_a_higher_number(self):
         fleet = self.fleet
@@ -335,7 +335,7 @@
         fleet.down = {first.removeprefix('router/')}
         for name in ('r9', 'r0'):
             fleet.routers[name].loads._send_report(is_query=True)
-        fleet.clock.advance(SILENT_SECONDS + 0.01)
+        fleet.clock.advance(TIMEOUT_SECONDS + 0.01)
         self.add_load('r9', 3, 500)
         for name in ('r9', 'r0'):
             fleet.routers[name].loads._send_report(is_query=True)
@@ -474,9 +474,9 @@
         for digest in range(100):
             load = UpstreamLoad(digest, 1, 10)
             total.update(LoadReport('r1', digest, [load]), 0.0)
-        self.assertEqual(len(total._running), 1)
+        self.assertEqual(len(total._in_flight), 1)
         total.expire(2.0)
-        self.assertEqual((len(total), len(total._running)), (0, 0))
+        self.assertEqual((len(total), len(total._in_flight)), (0, 0))
 
 
 class TestArithmetic(unittest.TestCase):
