--- a/tests/cover/test_load_sums.py
+++ b/tests/cover/test_load_sums.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Tests of aggregated loads: a few routers send sums to the others."""
+"""Tests of aggregated loads in large fleets."""
 
 import collections
 import unittest
@@ -59,7 +59,7 @@
 STALE_SECONDS = 2 * CURRENT_SECONDS
 ENGINES = ('e1', 'e2', 'e3')
 DATA_CENTRES = ('a', 'b', 'c')
-# Its level recovers only slightly during a test.
+# Its usage level recovers only slightly during a test.
 WORKSPACE = Workspace(
     'acme', None, False, UsageCap(5.0, 1000.0, UsageUnit.TOKENS)
 )
@@ -174,10 +174,10 @@
         for _ in range(2):
             router.usage.request_level(WORKSPACE)
             fleet.run_round()
-        facts = router.usage.admit(WORKSPACE, units)
-        self.assertIsNone(facts.retry_seconds)
+        decision = router.usage.admit(WORKSPACE, units)
+        self.assertIsNone(decision.retry_seconds)
 
-    def get_left(self, fleet, name):
+    def get_remaining_units(self, fleet, name):
         """Return the remaining units that a router knows after a query."""
         fleet.routers[name].usage.request_level(WORKSPACE)
         for _ in range(3):
@@ -185,26 +185,26 @@
         level = fleet.routers[name].usage.find_level(WORKSPACE)
         return level.get_remaining(fleet.clock.monotonic())
 
-    def test_every_router_knows_what_all_used(self):
+    def test_every_router_knows_the_total_usage(self):
         for count in (8, 60):
             fleet = self.make_fleet(count)
             self.use(fleet, 'r0', 500.0)
             self.use(fleet, 'r1', 300.0)
             for name in ('r0', 'r1', 'r2', f'r{count - 1}'):
                 with self.subTest(routers=count, router=name):
-                    left = self.get_left(fleet, name)
-                    self.assertAlmostEqual(left, 200.0, delta=25.0)
+                    remaining = self.get_remaining_units(fleet, name)
+                    self.assertAlmostEqual(remaining, 200.0, delta=25.0)
 
-    def test_what_one_used_up_is_refused_by_another(self):
+    def test_cap_used_up_at_one_router_is_enforced_by_another(self):
         for count in (8, 60):
             with self.subTest(routers=count):
                 fleet = self.make_fleet(count)
                 self.use(fleet, 'r0', 990.0)
-                self.get_left(fleet, 'r3')
-                facts = fleet.routers['r3'].usage.admit(WORKSPACE, 100.0)
-                self.assertGreater(facts.retry_seconds, 0.0)
+                self.get_remaining_units(fleet, 'r3')
+                decision = fleet.routers['r3'].usage.admit(WORKSPACE, 100.0)
+                self.assertGreater(decision.retry_seconds, 0.0)
 
-    def test_loss_of_those_that_add_up_forgets_no_use(self):
+    def test_usage_is_kept_when_all_aggregators_fail(self):
         fleet = self.make_fleet(60)
         self.use(fleet, 'r0', 800.0)
         for _ in range(3):
@@ -218,7 +218,7 @@
         for _ in range(6):
             fleet.run_round()
         name = min(set(fleet.routers) - aggregators - {'r0'})
-        self.assertLess(self.get_left(fleet, name), 300.0)
+        self.assertLess(self.get_remaining_units(fleet, name), 300.0)
 
 
 class TestLargeFleet(unittest.TestCase):
@@ -231,7 +231,7 @@
         upstream.pending.clear()
         upstream.note_sent(1, 0.0, unread=unread)
 
-    def test_every_router_knows_the_whole_load(self):
+    def test_every_router_knows_the_total_load(self):
         self.add_load('r0', 2, 5000)
         self.add_load('r1', 3, 700)
         self.add_load('r59', 1, 40)
@@ -248,7 +248,7 @@
         self.add_load('r0', 1)
         self.assertEqual(self.fleet.get_known_load('r0'), (1, 0))
 
-    def test_load_that_ended_is_forgotten(self):
+    def test_ended_load_is_removed_from_the_sums(self):
         self.add_load('r0', 4, 900)
         self.fleet.run_round()
         upstream = self.fleet.routers['r0'].directory.get('e1')
@@ -258,7 +258,7 @@
             self.fleet.run_round()
         self.assertEqual(self.fleet.get_known_load('r7'), (0, 0))
 
-    def test_loss_of_those_that_add_up_is_made_up_for(self):
+    def test_loads_are_known_again_after_all_aggregators_failed(self):
         chosen = {
             choose_aggregator(
                 [
@@ -280,7 +280,7 @@
         for name in live:
             self.assertEqual(self.fleet.get_known_load(name), (3, 320))
 
-    def test_lost_router_holds_no_engine_busy(self):
+    def test_load_of_a_failed_router_expires(self):
         self.add_load('r0', 4, 900)
         self.fleet.run_round()
         self.fleet.down = {'r0'}
@@ -288,7 +288,7 @@
             self.fleet.run_round()
         self.assertEqual(self.fleet.get_known_load('r8'), (0, 0))
 
-    def test_parts_that_one_router_had_read_are_known_to_all(self):
+    def test_parts_computed_for_one_router_are_known_to_all(self):
         sender = self.fleet.routers['r0']
         sender.parts._remember(77, 0.0)
         sender.parts._unreported.append(77)
@@ -298,10 +298,10 @@
             with self.subTest(router=name):
                 self.assertIn(77, router.parts._computed_at)
 
-    def test_nobody_hears_more_than_in_a_small_fleet(self):
+    def test_number_of_received_datagrams_is_limited_in_a_large_fleet(self):
         # Without aggregation, each of 195 routers received 250 reports a
-        # second. With it, each receives 10 sums, and the aggregator of each
-        # data centre the reports of its neighbours.
+        # second. With it, each receives 10 sums a second, and the aggregator
+        # of a data centre also the reports of its neighbours.
         fleet = Fleet(195)
         fleet.run_round()
         fleet.received.clear()
@@ -312,8 +312,8 @@
         median = sorted(fleet.received.values())[len(fleet.received) // 2]
         self.assertLessEqual(median, 2)
 
-    def test_silence_of_the_chosen_one_is_noticed_in_time(self):
-        # Every regular report is a query.
+    def test_silent_aggregator_is_replaced_before_reports_expire(self):
+        # Every regular report is a query, which detects a silent aggregator.
         fleet = self.fleet
         fleet.run_round()
         router = fleet.routers['r0']
@@ -325,7 +325,7 @@
         regular = router.loads.get_report_seconds()
         self.assertLess(regular + TIMEOUT_SECONDS, FRESH_SECONDS)
 
-    def test_sum_of_another_router_replaces_one_with_a_higher_number(self):
+    def test_sum_of_a_new_aggregator_with_a_lower_number_is_applied(self):
         fleet = self.fleet
         for _ in range(5):
             fleet.run_round()
@@ -342,15 +342,15 @@
         self.assertEqual(fleet.get_known_load('r0'), (3, 500))
 
 
-class TestQuestions(unittest.TestCase):
-    """A router queries the sum when it has to choose an engine."""
+class TestQueries(unittest.TestCase):
+    """A router queries the sum before it chooses an engine."""
 
     def setUp(self):
         self.fleet = Fleet(60)
         self.fleet.run_round()
         self.loads = self.fleet.routers['r0'].loads
 
-    def test_nobody_is_told_who_does_not_ask(self):
+    def test_router_without_a_query_gets_no_sum(self):
         self.fleet.received.clear()
         for router in self.fleet.routers.values():
             router.loads.send_sums()
@@ -369,7 +369,7 @@
             for key in self.loads._choice.list_candidates()
         }
 
-    def test_answer_holds_what_was_told_a_moment_ago(self):
+    def test_answer_includes_a_report_received_just_before(self):
         self.fleet.clock.advance(STALE_SECONDS)
         other = self.fleet.routers['r3']
         upstream = other.directory.get('e1')
@@ -381,7 +381,7 @@
         self.assertTrue(self.loads.is_current())
         self.assertEqual(self.fleet.get_known_load('r0'), (1, 9000))
 
-    def test_one_question_serves_choices_that_come_together(self):
+    def test_concurrent_choices_send_one_query(self):
         self.fleet.clock.advance(STALE_SECONDS)
         self.fleet.down = {self.loads._choice.choose().removeprefix('router/')}
         sent = self.loads._transport.sendto = mock.Mock()
@@ -389,7 +389,7 @@
         self.loads.request_sum()
         sent.assert_called_once()
 
-    def test_many_choices_ask_no_more_than_they_may(self):
+    def test_query_rate_is_limited(self):
         sent = self.loads._transport.sendto = mock.Mock()
         for _ in range(500):
             self.fleet.clock.advance(STALE_SECONDS)
@@ -400,15 +400,15 @@
         self.assertLessEqual(sent.call_count, allowed)
         self.assertGreater(sent.call_count, 0.9 * allowed)
 
-    def test_parts_are_told_to_each_that_asks_once(self):
+    def test_each_part_is_returned_once_per_receiver(self):
         log = PartLog()
         log.add(list(range(MAX_MESSAGE_PARTS + 5)))
-        first, place = log.list_since(0)
-        rest, place = log.list_since(place)
+        first, position = log.list_since(0)
+        rest, position = log.list_since(position)
         self.assertEqual([*first, *rest], list(range(MAX_MESSAGE_PARTS + 5)))
-        self.assertEqual(log.list_since(place), ([], place))
+        self.assertEqual(log.list_since(position), ([], position))
 
-    def test_parts_that_are_kept_no_more_are_passed_over(self):
+    def test_evicted_parts_are_skipped(self):
         log = PartLog()
         log.add(list(range(MAX_LOGGED_PARTS + 7)))
         first, _ = log.list_since(0)
@@ -416,7 +416,7 @@
 
 
 class TestWaiting(unittest.IsolatedAsyncioTestCase):
-    async def test_choice_goes_on_without_an_answer(self):
+    async def test_unanswered_query_does_not_block_a_choice(self):
         fleet = Fleet(60)
         fleet.run_round()
         fleet.clock.advance(STALE_SECONDS)
@@ -427,7 +427,7 @@
 
 
 class TestSmallFleet(unittest.TestCase):
-    def test_all_tell_all_where_that_is_little(self):
+    def test_small_fleet_reports_to_all_routers_directly(self):
         fleet = Fleet(MAX_DIRECT_ROUTERS)
         upstream = fleet.routers['r0'].directory.get('e1')
         upstream.in_flight = 2
@@ -469,7 +469,7 @@
             sorted(expected, key=lambda load: load.digest),
         )
 
-    def test_nothing_is_kept_of_upstreams_that_are_gone(self):
+    def test_removed_upstreams_leave_no_entries(self):
         total = FreshSum(lambda: 1.0)
         for digest in range(100):
             load = UpstreamLoad(digest, 1, 10)
--- a/tests/cover/test_peer_loads.py
+++ b/tests/cover/test_peer_loads.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Tests of load reports: sums, expiry, prefixes and invalid datagrams."""
+"""Tests of load reports: sums, expiry, parts and invalid datagrams."""
 
 import asyncio
 import datetime
@@ -82,7 +82,7 @@
         self.router.loads.apply_report(make_report('b', 1, 3, 50))
         self.assertEqual(self.router.get_peer_load(), (5, 150))
 
-    def test_reports_that_come_one_after_the_other_are_summed_as_at_once(self):
+    def test_incrementally_updated_sums_equal_rebuilt_ones(self):
         for number in range(1, 6):
             for vm in 'abc':
                 self.router.loads.apply_report(
@@ -93,7 +93,7 @@
         self.router.loads._ledger.rebuild()
         self.assertEqual(self.router.get_peer_load(), (15, 30))
 
-    def test_upstream_that_came_in_between_has_no_load_below_zero(self):
+    def test_load_of_a_replaced_upstream_is_not_negative(self):
         self.router.loads.apply_report(make_report('a', 1, 4))
         self.router.directory.apply_row(VersionedRow('u', None, 2))
         value = msgspec.json.encode(make_entry(address='1.2.3.4:9'))
@@ -102,26 +102,26 @@
         self.router.loads.apply_report(make_report('a', 2, 1))
         self.assertGreaterEqual(upstream.peers_in_flight, 0)
 
-    def test_newer_report_replaces_and_overtaken_one_is_dropped(self):
+    def test_newer_report_is_applied_and_overtaken_one_is_dropped(self):
         for number, in_flight in ((1, 2), (3, 7), (2, 9)):
             self.router.loads.apply_report(make_report('a', number, in_flight))
         self.assertEqual(self.router.get_peer_load()[0], 7)
 
-    def test_router_that_fell_silent_holds_nothing_busy(self):
+    def test_load_of_a_silent_router_expires(self):
         self.router.loads.apply_report(make_report('a', 1, 2))
         self.router.clock.advance(FRESH_SECONDS + 0.1)
         self.router.loads.apply_report(make_report('b', 1, 3))
         self.assertEqual(self.router.get_peer_load()[0], 3)
 
-    def test_restarted_router_is_believed_again(self):
+    def test_reports_of_a_restarted_router_are_applied(self):
         self.router.loads.apply_report(make_report('a', 900, 2))
         self.router.clock.advance(FRESH_SECONDS + 0.1)
         self.router.loads.apply_report(make_report('a', 1, 4))
         self.assertEqual(self.router.get_peer_load()[0], 4)
 
-    def test_regression_many_routers_hear_no_more_than_few(self):
+    def test_regression_report_rate_grew_with_the_fleet(self):
         # With a fixed report period, each of 78 routers received 520 reports a
-        # second, which exceeded the limit of processor time.
+        # second and exceeded its limit of processor time.
         self.router.roster.loaded = True
         for count in (8, 30, 69, 350):
             for number in range(count):
@@ -130,7 +130,7 @@
             self.assertLessEqual(count * report_rate, MAX_REPORT_RATE + 1e-6)
         self.assertLess(1 / report_rate, FRESH_SECONDS * FRESH_REPORTS)
 
-    def test_report_of_a_large_fleet_counts_until_the_third_next(self):
+    def test_report_in_a_large_fleet_expires_after_three_periods(self):
         self.router.roster.loaded = True
         for number in range(2 * MAX_REPORT_RATE):
             self.router.add_peer(f'r{number}', '10.0.0.1:7400')
@@ -143,7 +143,7 @@
         self.router.loads.apply_report(make_report('b', 2, 3))
         self.assertEqual(self.router.get_peer_load()[0], 3)
 
-    def test_garbage_is_dropped_and_told(self):
+    def test_undecodable_datagram_is_dropped_and_logged(self):
         self.router.loads.apply_report(make_report('a', 1, 2))
         for data in (b'', b'\xc1', b'not a report', b'\x93\x01\x02\x03'):
             with self.assertLogs('lifttrestle.intake', 'ERROR'):
@@ -152,19 +152,19 @@
 
 
 class TestParts(unittest.TestCase):
-    def test_parts_that_one_router_had_read_are_known_to_the_others(self):
+    def test_parts_computed_for_one_router_are_known_to_the_others(self):
         sender, receiver = Router('a'), Router('b')
         parts = (PromptPart('aa', 400),)
         sender.parts.note_computed('salt', parts, 0.0)
-        news = sender.parts.pop_updates()
-        receiver.loads.apply_report(LoadReport('a', 1, [], news))
+        updates = sender.parts.pop_updates()
+        receiver.loads.apply_report(LoadReport('a', 1, [], updates))
         self.assertEqual(receiver.parts.count_unknown('salt', parts), 0)
         self.assertEqual(receiver.parts.count_unknown('other', parts), 400)
-        # Received prefixes are not forwarded, and own ones are sent once.
+        # Received parts are not forwarded, and own ones are sent once.
         self.assertEqual(receiver.parts.pop_updates(), [])
         self.assertEqual(sender.parts.pop_updates(), [])
 
-    def test_report_stays_small_whatever_was_read(self):
+    def test_number_of_parts_in_a_report_is_limited(self):
         parts = SharedParts()
         many = tuple(PromptPart(f'{number}', 1) for number in range(450))
         parts.note_computed('salt', many, 0.0)
@@ -173,7 +173,7 @@
 
 
 class TestDatagrams(unittest.IsolatedAsyncioTestCase):
-    async def test_routers_hear_each_other_until_the_work_ends(self):
+    async def test_routers_receive_loads_and_their_end(self):
         routers = [Router('a'), Router('b')]
         addresses = [
             await router.loads.start(Address('127.0.0.1', 0))
@@ -193,9 +193,10 @@
         for router in routers:
             router.loads.close()
 
-    async def test_regression_unreadable_address_ends_no_router(self):
-        # An unreadable address in one roster row raised in the task that sends
-        # reports. A router stops when such a task fails, so all routers did.
+    async def test_regression_invalid_address_stopped_the_reports(self):
+        # An invalid address in one roster row raised an exception in the task
+        # that sends reports. A router stops when that task fails, so all
+        # routers stopped.
         router = Router('me')
         transport = mock.Mock()
         router.loads._transport = transport
@@ -213,10 +214,10 @@
         reporting.cancel()
 
 
-class TestTellPacing(unittest.TestCase):
+class TestReportPacer(unittest.TestCase):
     def setUp(self):
         self.clock = ManualClock(START)
-        self.pacing = ReportPacer(self.clock)
+        self.pacer = ReportPacer(self.clock)
 
     def _send(self, routers, seconds, every):
         """Return the number of reports sent.
@@ -226,22 +227,22 @@
         end = self.clock.monotonic() + seconds
         sent = 0
         while self.clock.monotonic() < end:
-            self.clock.advance(self.pacing.take(routers))
+            self.clock.advance(self.pacer.take(routers))
             sent += 1
             self.clock.advance(every)
         return sent
 
-    def test_changes_are_told_at_once_within_the_rate(self):
-        self.assertEqual([self.pacing.take(8) for _ in range(3)], [0, 0, 0])
-        self.assertGreater(self.pacing.take(8), 0)
+    def test_changes_within_the_rate_are_reported_at_once(self):
+        self.assertEqual([self.pacer.take(8) for _ in range(3)], [0, 0, 0])
+        self.assertGreater(self.pacer.take(8), 0)
 
-    def test_no_router_hears_more_however_often_loads_change(self):
+    def test_report_rate_is_limited_for_frequent_changes(self):
         for routers in (8, 82, 350):
             with self.subTest(routers=routers):
                 sent = self._send(routers, 60.0, 0.001)
                 allowed = 60.0 * MAX_REPORT_RATE / routers + BURST + 1
                 self.assertLessEqual(sent, allowed)
 
-    def test_regular_reports_leave_room_for_changes(self):
-        regular = self.pacing.get_regular_seconds(82)
+    def test_regular_reports_use_less_than_half_of_the_rate(self):
+        regular = self.pacer.get_regular_seconds(82)
         self.assertLess(82 / regular, 0.5 * MAX_REPORT_RATE)
