--- a/tests/cover/test_fleet_watch.py
+++ b/tests/cover/test_fleet_watch.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Tests of the watch of a shared table: how current its copy is."""
+"""Tests of the watch of a shared table and of the age of its copy."""
 
 import asyncio
 import datetime
@@ -61,7 +61,7 @@
         expected = [('a', b'1'), ('a', b'2'), ('b', b'3')]
         self.assertEqual(self.get_received(), expected)
 
-    def test_copy_is_current_as_of_the_send_time(self):
+    def test_copy_is_current_as_of_the_time_of_the_request(self):
         self.read_once()
         watch_table = self.rows.watch_table
 
@@ -82,25 +82,25 @@
         self.assertEqual(self.watch.get_age(), 1.0)
 
     def test_regression_read_after_a_failure_does_not_wait(self):
-        # If each read after an outage waits until it times out, the copy is
-        # late: after a store outage of 8 s the list of upstreams was current
-        # only 5.3 s after the store was available again.
+        # When the reads after a failure wait for a change until they time out,
+        # the copy is confirmed late: after a store outage of 8 s the list of
+        # upstreams was current only 5.3 s after the store was available again.
         waits = []
         watch_table = self.rows.watch_table
 
-        async def note_wait(table, after, wait_seconds):
+        async def record_wait(table, after, wait_seconds):
             waits.append(wait_seconds)
             return await watch_table(table, after, wait_seconds)
 
-        self.rows.watch_table = note_wait
+        self.rows.watch_table = record_wait
         self.read_once()
         self.rows.down = True
-        self.run_reads(2)
+        self.run_for_reads(2)
         self.rows.down = False
-        self.run_reads(2)
+        self.run_for_reads(2)
         self.assertEqual(waits[:4], [1.5, 0.0, 0.0, 1.5])
 
-    def run_reads(self, count):
+    def run_for_reads(self, count):
         async def run():
             following = asyncio.create_task(self.watch.run())
             for _ in range(count):
@@ -141,18 +141,18 @@
         # The reads are at least 0.25 s apart once the backoff is at its limit.
         self.assertLessEqual(len(read_times), 36)
 
-    def test_changes_in_quick_succession_take_one_read(self):
+    def test_changes_in_quick_succession_are_read_in_batches(self):
         reads = []
         watch_table = self.rows.watch_table
 
-        async def note_read(table, after, wait_seconds):
+        async def record_read(table, after, wait_seconds):
             reads.append(self.clock.monotonic())
             changes = await watch_table(table, after, wait_seconds)
             if not changes.rows:
                 await asyncio.Event().wait()
             return changes
 
-        self.rows.watch_table = note_read
+        self.rows.watch_table = record_read
         self.watch = self.make_watch(batch_seconds=0.2)
         self.read_once()
         self.rows.put('t', 'a', b'1')
@@ -171,7 +171,7 @@
         # There were twenty changes in a second.
         self.assertEqual(len(reads), 5)
 
-    def test_regression_return_of_one_watch_restarts_the_others(self):
+    def test_regression_recovery_of_one_watch_restarts_the_others(self):
         # A read of the routers' table waits for up to 10 s. One that was sent
         # just before a short network outage would return nothing until then.
         async def run():
--- a/tests/cover/test_relay_follower.py
+++ b/tests/cover/test_relay_follower.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Tests of which relays a router follows for the shared tables."""
+"""Tests of the choice of relays that a router follows."""
 
 import asyncio
 import datetime
@@ -82,7 +82,7 @@
             for number, name in enumerate(NAMES)
         }
 
-    def take_rows(self):
+    def apply_rows(self):
         for key, address in self.addresses.items():
             row = msgspec.json.encode(RouterRow('a', address))
             self.roster.apply_row(VersionedRow(key, row, 1))
@@ -98,11 +98,11 @@
         await asyncio.gather(running, return_exceptions=True)
 
     async def test_regression_router_with_an_invalid_address_is_logged(self):
-        # The address makes the task that connects to the router fail; its
-        # error must be logged.
+        # The task that connects to the router fails with an error, which must
+        # be logged.
         self.addresses[RELAYS[0]] = INVALID_ADDRESS
         with self.assertLogs('lifttrestle') as logs:
-            self.take_rows()
+            self.apply_rows()
             await self.follow()
         reasons = [
             record.fields['reason']
@@ -116,7 +116,7 @@
         # Each retry of the relay with the invalid address must not close the
         # connection to another one.
         self.addresses[RELAYS[0]] = INVALID_ADDRESS
-        self.take_rows()
+        self.apply_rows()
         await self.follow()
         others = [self.addresses[key] for key in RELAYS[1:]]
         self.assertCountEqual(self.network.connected, others)
--- a/tests/cover/test_relay_model.py
+++ b/tests/cover/test_relay_model.py
@@ -10,12 +10,12 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Model-based tests of how routers replicate a shared table.
+"""Model-based tests of the replication of a shared table.
 
 Three routers read one table, from the store or from each other, and each
 request and response may be delayed. At all times the copy of a router must
-equal the table as of some commit, and must include every commit that was made
-before the time as of which the copy is said to be current.
+equal the table as of some commit, and must include every commit before the
+time as of which the copy counts as current.
 """
 
 import asyncio
@@ -56,7 +56,7 @@
 
 
 class HeldRead:
-    """A pending read: sent, then answered by the store, then received."""
+    """A pending read, whose steps are: sent, answered, received."""
 
     def __init__(self, read):
         self.read = read
@@ -65,7 +65,7 @@
 
 
 class HeldRows(RowStore):
-    """A store whose responses are made and delivered in separate steps."""
+    """A store that computes and delivers responses in separate steps."""
 
     def __init__(self, rows):
         self._rows = rows
@@ -395,8 +395,8 @@
     run_model(type('Machine', (machine,), {'faults': faults}), 300)
 
 
-class TestView(unittest.TestCase):
-    def test_copies_hold_what_they_are_said_to_hold(self):
+class TestReplication(unittest.TestCase):
+    def test_copies_are_as_current_as_they_report(self):
         run_machine()
 
     def test_planted_response_time_is_found(self):
@@ -407,7 +407,7 @@
         with self.assertRaises(AssertionError):
             run_machine(follower=ArrivalTimeFollower)
 
-    def test_planted_forgotten_removal_is_found(self):
+    def test_planted_omission_of_removals_is_found(self):
         with self.assertRaises(AssertionError):
             run_machine(server=RemovalOmittingServer)
 
