--- a/tests/cover/test_fleet_weights.py
+++ b/tests/cover/test_fleet_weights.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Rollout of weights: one lease holder, no effect of delayed orders."""
+"""Tests of the rollout of weights: lease, delayed orders and restores."""
 
 import asyncio
 import dataclasses
@@ -246,7 +246,7 @@
 
 
 class TableCopyRouter(Router):
-    """Follows the table through a copy, which marks restored rows."""
+    """Reads the table through a copy, which marks restored rows."""
 
     def __init__(self, name, time, rows, engines, loader_class):
         super().__init__(name, time, rows, engines, loader_class)
@@ -304,14 +304,14 @@
 
 
 class EarlyTakeoverLoader(WeightsLoader):
-    """Planted fault: takes the lease over before it has expired."""
+    """Injected fault: takes the lease over before it has expired."""
 
     def _may_order(self, model, held, now):
         return True
 
 
 class IgnoredEpochLoader(WeightsLoader):
-    """Planted fault: creates a missing row in any epoch."""
+    """Injected fault: creates a missing row in any epoch."""
 
     async def _write_plan(self, model, version, held, loading):
         held = dataclasses.replace(held, epoch=None)
@@ -319,7 +319,7 @@
 
 
 class UncheckedWriteLoader(WeightsLoader):
-    """Planted fault: checks the lease by one row and writes by another."""
+    """Injected fault: writes with the version of a row it has not checked."""
 
     async def _load_next(self, model, held, loads, outdated):
         current = self._store.get(FLEET_TABLE, f'weights/{model}')
@@ -333,17 +333,17 @@
 
 
 class TestLoader(unittest.TestCase):
-    def test_holders_never_take_turns_within_the_lease(self):
+    def test_orders_of_two_routers_are_a_lease_apart(self):
         run_machine(WeightsLoader)
 
-    def test_holders_never_take_turns_after_a_restore(self):
+    def test_orders_of_two_routers_are_a_lease_apart_after_a_restore(self):
         run_machine(WeightsLoader, RestoredStoreMachine)
 
     def test_planted_write_in_any_epoch_is_found(self):
         with self.assertRaises(AssertionError):
             run_machine(IgnoredEpochLoader, RestoredStoreMachine)
 
-    def test_planted_hasty_takeover_is_found(self):
+    def test_planted_early_takeover_is_found(self):
         with self.assertRaises(AssertionError):
             run_machine(EarlyTakeoverLoader)
 
@@ -361,7 +361,7 @@
     def make_router(self, name):
         return Router(name, self.time, self.rows, self.engines, WeightsLoader)
 
-    def test_two_of_five_load_at_a_time_and_all_in_the_end(self):
+    def test_two_of_five_engines_load_at_a_time_and_all_load(self):
         router = self.make_router('a')
         router.name(2)
         router.act()
@@ -371,7 +371,7 @@
             router.act()
         self.assertEqual(set(self.engines.weights.values()), {2})
 
-    def test_newest_is_loaded_without_those_between(self):
+    def test_intermediate_versions_are_not_loaded(self):
         router = self.make_router('a')
         for version in (2, 3, 4):
             router.name(version)
@@ -390,9 +390,9 @@
         ordered = {instance for _, instance, _ in self.engines.log}
         self.assertEqual({item.instance for item in busy}, ordered)
 
-    def test_regression_router_that_lost_the_race_orders_nothing(self):
-        # Both routers had found the lease free. The second overwrote the row
-        # that the first had just written, and both sent orders.
+    def test_regression_router_with_a_conflicting_write_sends_no_orders(self):
+        # Both routers read that the lease was free. The second overwrote the
+        # row that the first had just written, and both sent orders.
         first = self.make_router('a')
         second = self.make_router('b')
         for router in (first, second):
@@ -411,9 +411,9 @@
         holders = {order.holder for _, _, order in self.engines.log}
         self.assertEqual(len(holders), 1)
 
-    def test_regression_routers_take_over_one_after_the_other(self):
-        # All routers wrote as soon as the lease had expired: five writes
-        # within 0.3 s got no answer.
+    def test_regression_all_routers_took_the_lease_over_at_once(self):
+        # All routers wrote the row as soon as the lease had expired, and five
+        # writes within 0.3 s got no answer.
         routers = [self.make_router(name) for name in ('a', 'b', 'c')]
         for router in routers:
             for name in ('router/a', 'router/b', 'router/c'):
@@ -437,8 +437,8 @@
         self.assertGreaterEqual(min(gaps), 0.2)
 
     def test_regression_order_without_an_answer_is_sent_again_soon(self):
-        # The engine got no requests for four seconds, as the router waited
-        # for a load that had not started.
+        # The router waited for a load that had not started, and sent the
+        # engine no requests for four seconds.
         router = self.make_router('a')
         router.name(2)
         router.control.delays = True
@@ -453,7 +453,7 @@
             outcome = self.engines.take(instance, order)
             self.assertIs(outcome, OrderOutcome.OTHER_ORDER)
 
-    def test_silent_engines_leave_the_others_at_work(self):
+    def test_silent_engines_count_as_unavailable_for_the_load_limit(self):
         router = self.make_router('a')
         router.name(2)
         self.time.advance(5.0)
@@ -493,7 +493,7 @@
             router.hear()
             router.act()
 
-    def test_regression_restored_row_gave_the_lease_back(self):
+    def test_regression_restored_row_renewed_a_lost_lease(self):
         first, second = self.routers
         self.act_until_lease_expires(first, 2)
         snapshot = self.rows.take_snapshot()
@@ -511,7 +511,7 @@
         self.assertGreaterEqual(after[0] - before[0], LEASE_SECONDS)
         self.assertGreater(after[2].fence, before[2].fence)
 
-    def test_regression_plan_that_is_lost_was_written_by_another(self):
+    def test_regression_lost_plan_was_replaced_by_another_router(self):
         first, second = self.routers
         first.name(2)
         first.act()
@@ -561,15 +561,15 @@
         self.routers[0].hear()
         self.assertEqual(self.load_after_restores(2), {3})
 
-    def test_plan_that_its_holder_never_heard_does_not_stop_it(self):
+    def test_lost_plan_that_its_holder_never_read_does_not_stop_loads(self):
         self.routers = self.routers[:1]
         self.routers[0].name(2)
         self.routers[0].act()
         self.assertEqual(self.load_after_restores(1), {3})
 
 
-class TestComplete(unittest.TestCase):
-    """Routers search the engines again only after a change."""
+class TestCompletedRollout(unittest.TestCase):
+    """After a complete rollout only a change causes orders."""
 
     def setUp(self):
         self.time = ManualClock(START)
@@ -599,10 +599,10 @@
             self.time.advance(1.0)
         return len(self.engines.log) - before
 
-    def test_nothing_is_ordered_while_all_hold_the_weights(self):
+    def test_no_orders_are_sent_while_all_engines_have_the_weights(self):
         self.assertEqual(self.count_orders(), 0)
 
-    def test_engine_whose_weights_went_back_is_ordered_to_load(self):
+    def test_engine_that_lists_older_weights_again_is_ordered_to_load(self):
         self.put_entry(1)
         self.assertEqual(self.count_orders(), 1)
 
@@ -610,13 +610,13 @@
         self.put_entry(1, born=1_767_225_600_000)
         self.assertEqual(self.count_orders(), 1)
 
-    def test_newer_weights_are_ordered(self):
+    def test_newer_target_version_is_ordered(self):
         self.router.name(3)
         self.assertGreater(self.count_orders(), 0)
 
 
 class TestTracking(unittest.TestCase):
-    """Lost orders and lost engines end the tracking of a load."""
+    """Lost orders and unreachable engines end the tracking of a load."""
 
     def setUp(self):
         self.time = ManualClock(START)
@@ -635,9 +635,9 @@
         self.time.advance(seconds)
         asyncio.run(self.loads.poll())
 
-    def test_regression_order_without_an_answer_is_asked_after_at_once(self):
-        # The engine was polled after 0.7 s, as if it were loading, so that
-        # each lost order kept it without requests for 1.2 s.
+    def test_regression_engine_is_polled_soon_after_an_unanswered_order(self):
+        # The engine was polled only after 0.7 s, as if it were loading, so
+        # each lost order kept requests from it for 1.2 s.
         self.loads.add(self.engine, self.order, answered=False)
         self._poll(0.25)
         self.assertNotIn('e1', self.loads)
@@ -645,7 +645,7 @@
         self._poll(0.25)
         self.assertIn('e1', self.loads)
 
-    def test_regression_engine_that_is_lost_takes_up_no_room(self):
+    def test_regression_unreachable_engine_is_not_counted_as_loading(self):
         # An engine that crashed while loading counted as loading for four
         # seconds, and delayed the loads of the others.
         self.loads.add(self.engine, self.order, answered=True)
