--- a/tests/cover/test_reach.py
+++ b/tests/cover/test_reach.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Tests of the probes that find out which addresses are reachable."""
+"""Tests of the reachability of addresses and of their probes."""
 
 import asyncio
 import datetime
@@ -89,9 +89,10 @@
         for _ in range(4):
             await asyncio.sleep(0)
 
-    async def test_regression_cut_upstream_stays_out_until_it_is_reached(self):
-        # The upstream was used again a second after each failure, so that
-        # every second a request was lost in the network partition.
+    async def test_regression_unreachable_upstream_was_used_again(self):
+        # The upstream was used again a second after each failure, without a
+        # successful probe, so a request a second failed during a network
+        # partition.
         upstream = make_upstream('a', 'x', reachable=False)
         self.upstreams.append(upstream)
         upstream.reach.note_unreachable()
@@ -117,7 +118,7 @@
         self.assertTrue(near.reach.unreachable)
         self.assertEqual((far.pool.attempts, active.pool.attempts), (0, 0))
 
-    async def test_one_unreachable_upstream_of_many_has_no_other_probed(self):
+    async def test_one_unreachable_upstream_of_ten_has_no_others_probed(self):
         unreachable = make_upstream('a', 'x', reachable=False)
         others = [make_upstream(f'b{number}', 'x') for number in range(9)]
         self.upstreams.extend((unreachable, *others))
@@ -125,7 +126,7 @@
         await self._poll(0.1)
         self.assertEqual(sum(item.pool.attempts for item in others), 0)
 
-    async def test_store_beside_an_unreachable_upstream_is_probed(self):
+    async def test_store_near_an_unreachable_upstream_is_probed(self):
         facts = CacheStoreFacts('127.0.0.1:9', 'x', 1000)
         store = self.stores.get(facts)
         store.pool = FakePool(reachable=False)
@@ -139,7 +140,7 @@
         await self._poll()
         self.assertFalse(store.reach.unreachable)
 
-    async def test_silent_upstream_that_takes_connections_is_not_lost(self):
+    async def test_silent_upstream_that_accepts_connections_is_kept(self):
         upstream = make_upstream('a', 'x')
         upstream.note_sent(1, self.clock.monotonic())
         self.upstreams.append(upstream)
--- a/tests/cover/test_refused_input.py
+++ b/tests/cover/test_refused_input.py
@@ -98,10 +98,10 @@
         )
         self.directory.get_catalogue = lambda: CATALOGUE
         self.commit = 0
-        self.take('sound', make_entry())
-        self.take('engine', ENGINE_ENTRY)
+        self.apply_entry('sound', make_entry())
+        self.apply_entry('engine', ENGINE_ENTRY)
 
-    def take(self, key, entry):
+    def apply_entry(self, key, entry):
         value = entry
         if not isinstance(entry, bytes):
             value = msgspec.json.encode(entry)
@@ -114,7 +114,9 @@
 
 class TestEntries(InputCase):
     def test_valid_entry_adds_an_upstream(self):
-        self.take('new', make_entry(born=1767225600000, extra={'a': [1]}))
+        self.apply_entry(
+            'new', make_entry(born=1767225600000, extra={'a': [1]})
+        )
         self.assertEqual(self.list_names(), ['engine', 'new', 'sound'])
         self.assertEqual(self.counted, [])
 
@@ -129,7 +131,7 @@
                 entry = make_entry()
                 del entry[field]
                 with self.assertLogs('lifttrestle.intake', 'ERROR') as logs:
-                    self.take('new', entry)
+                    self.apply_entry('new', entry)
                 self.assertEqual(len(logs.records), 1)
                 self.assertEqual(self.list_names(), ['engine', 'sound'])
                 self.assertEqual(self.counted[-1], ('upstreams', 'field'))
@@ -139,7 +141,7 @@
             for value in values:
                 with self.subTest(field=field, value=value):
                     with self.assertLogs('lifttrestle.intake', 'ERROR'):
-                        self.take('new', {**ENGINE_ENTRY, field: value})
+                        self.apply_entry('new', {**ENGINE_ENTRY, field: value})
                     self.assertEqual(self.list_names(), ['engine', 'sound'])
 
     def test_undecodable_entry_is_refused(self):
@@ -155,7 +157,7 @@
         for value, fault in faults.items():
             with self.subTest(value=value[:20]):
                 with self.assertLogs('lifttrestle.intake', 'ERROR'):
-                    self.take('new', value)
+                    self.apply_entry('new', value)
                 self.assertEqual(self.list_names(), ['engine', 'sound'])
                 self.assertEqual(self.counted[-1], ('upstreams', fault))
 
@@ -163,23 +165,23 @@
         for key in ('', 'a b', 'a\r\nx: y', 'ä', 'x' * 300):
             with self.subTest(key=key):
                 with self.assertLogs('lifttrestle.intake', 'ERROR'):
-                    self.take(key, make_entry())
+                    self.apply_entry(key, make_entry())
                 self.assertEqual(self.list_names(), ['engine', 'sound'])
 
     def test_upstream_is_removed_when_its_entry_becomes_invalid(self):
         with self.assertLogs('lifttrestle.intake', 'ERROR'):
-            self.take('sound', b'?')
+            self.apply_entry('sound', b'?')
         self.assertEqual(self.list_names(), ['engine'])
-        self.take('sound', make_entry())
+        self.apply_entry('sound', make_entry())
         self.assertEqual(self.list_names(), ['engine', 'sound'])
 
-    def test_service_that_is_not_configured_has_no_upstreams(self):
-        self.take('new', make_entry(service='other'))
+    def test_service_without_configuration_has_no_upstreams(self):
+        self.apply_entry('new', make_entry(service='other'))
         self.assertEqual(self.list_names(), ['engine', 'sound'])
         self.assertEqual(self.directory.list_available('other'), [])
 
     def test_engine_without_a_model_is_not_used(self):
-        self.take('new', make_entry(service='engines'))
+        self.apply_entry('new', make_entry(service='engines'))
         self.assertEqual(self.list_names(), ['engine', 'sound'])
 
     @given(st.binary(max_size=200))
@@ -196,7 +198,7 @@
 
 
 class TestOtherRows(InputCase):
-    def test_invalid_plan_has_no_holder_and_can_be_replaced(self):
+    def test_invalid_plan_has_no_holder_and_can_be_overwritten(self):
         view = WeightsView(self.directory, self.clock, self.refusals)
         plan = msgspec.json.encode(WeightsPlan('r1', 'm', 2))
         other = msgspec.json.encode(WeightsPlan('r1', 'other', 2))
@@ -212,7 +214,7 @@
                 expected = commit * 10 + 1 if value else 0
                 self.assertEqual(state.row_version, expected)
 
-    def test_router_of_an_invalid_row_is_counted_and_sent_no_messages(self):
+    def test_router_with_an_invalid_row_is_counted_but_sent_no_messages(self):
         roster = Roster(MemoryRows(), self.clock, 'me', 'a', self.refusals)
         roster.loaded = True
         for commit, value in enumerate((b'?', DEEP, b'{"address":1}'), 1):
@@ -230,7 +232,7 @@
         self.assertEqual(view.target_weights, {})
         self.assertEqual(len(self.counted), 6)
 
-    def test_value_that_is_not_base64_is_a_row_without_bytes(self):
+    def test_value_that_is_not_base64_is_read_as_an_empty_value(self):
         with self.assertLogs('lifttrestle.store', 'ERROR'):
             record = RowRecord('servers', 'a', value='abc', ver=4)
             row = _read_row(record, epoch=0)
@@ -238,7 +240,7 @@
 
 
 class TestMessages(unittest.TestCase):
-    def test_deep_nesting_is_refused_like_anything_else(self):
+    def test_deeply_nested_message_is_refused(self):
         for decode, data, model in (
             (decode_json, DEEP, ReportRecord),
             (decode_msgpack, DEEP_PACKED, LoadReport),
--- a/tests/cover/test_restored_holds.py
+++ b/tests/cover/test_restored_holds.py
@@ -53,7 +53,7 @@
             HEARTBEAT_SECONDS,
         )
 
-    def take_held_row(self, by):
+    def apply_held_row(self, by):
         """Apply a row of the held request, written by the given router."""
         row = build_held_row(self.clock, 'acme', 'safe', 3, by)
         value = encode_held_row(row)
@@ -68,7 +68,7 @@
 
     def test_regression_lost_row_ended_a_hold(self):
         # A lost row was treated as a removed one, so the request ran again.
-        value = self.take_held_row('one')
+        value = self.apply_held_row('one')
         version = build_version(1, 5)
         lost = VersionedRow(KEY, None, version, RowOrigin.LOST)
         self.tracker.apply_row(lost)
@@ -79,7 +79,7 @@
 
     def test_lost_row_of_another_router_is_rewritten_after_a_delay(self):
         # Without this the row stays lost if the router that wrote it is gone.
-        value = self.take_held_row('other')
+        value = self.apply_held_row('other')
         version = build_version(1, 5)
         self.tracker.apply_row(
             VersionedRow(KEY, None, version, RowOrigin.LOST)
@@ -92,7 +92,7 @@
 
     def test_lost_row_that_another_router_rewrote_is_not_rewritten(self):
         # Without this each owner of the request would write the row.
-        value = self.take_held_row('other')
+        value = self.apply_held_row('other')
         version = build_version(1, 5)
         self.tracker.apply_row(
             VersionedRow(KEY, None, version, RowOrigin.LOST)
@@ -104,7 +104,7 @@
 
     def test_regression_lifted_request_was_held_again(self):
         # An undeleted row was treated as a newly written one.
-        value = self.take_held_row('one')
+        value = self.apply_held_row('one')
         self.tracker.apply_row(VersionedRow(KEY, None, 8))
         version = self.rows.put(FLEET_TABLE, KEY, value)
         self.tracker.apply_row(
@@ -116,7 +116,7 @@
 
     def test_new_row_of_a_lifted_request_is_not_removed(self):
         # The removal of the undeleted row must not end a later hold.
-        value = self.take_held_row('one')
+        value = self.apply_held_row('one')
         self.tracker.apply_row(VersionedRow(KEY, None, 8))
         version = self.rows.put(FLEET_TABLE, KEY, value)
         self.tracker.apply_row(
@@ -130,7 +130,7 @@
 
     def test_row_written_just_before_a_restore_is_rewritten(self):
         # The watch reports a row as lost only if it has read that row.
-        value = self.take_held_row('one')
+        value = self.apply_held_row('one')
         other = VersionedRow('router/x', b'{}', build_version(1, 5))
         self.tracker.apply_row(other)
         self.tracker.holds.check_epoch()
