--- a/src/lifttrestle/internal/fleet/state/cache_stores.py
+++ b/src/lifttrestle/internal/fleet/state/cache_stores.py
@@ -20,7 +20,7 @@
 import dataclasses
 
 from lifttrestle.internal.clock.clock import Clock
-from lifttrestle.internal.fleet.state.catalogue import CacheStoreFacts
+from lifttrestle.internal.fleet.state.catalogue import CacheStoreConfig
 from lifttrestle.internal.fleet.state.reach import Reachability
 from lifttrestle.internal.http.address import parse_address
 from lifttrestle.internal.http.client_pool import ClientPool
@@ -53,15 +53,15 @@
         """Iterate over a snapshot of the stores."""
         return iter(tuple(self._stores.values()))
 
-    def get(self, facts: CacheStoreFacts) -> CacheStore:
+    def get(self, config: CacheStoreConfig) -> CacheStore:
         """Return the store with this configuration, created if absent."""
-        store = self._stores.get(facts.address)
+        store = self._stores.get(config.address)
         if store is None:
             pool = ClientPool(
-                parse_address(facts.address), self._clock, CONNECT_SECONDS
+                parse_address(config.address), self._clock, CONNECT_SECONDS
             )
-            store = CacheStore(facts.address, facts.data_centre, pool)
-            self._stores[facts.address] = store
+            store = CacheStore(config.address, config.data_centre, pool)
+            self._stores[config.address] = store
         return store
 
     def suspect(self, address: str) -> None:
--- a/src/lifttrestle/internal/fleet/state/catalogue.py
+++ b/src/lifttrestle/internal/fleet/state/catalogue.py
@@ -82,7 +82,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class EngineFacts:
+class EngineConfig:
     """Configured properties of the engines of a service.
 
     :ivar slots: requests that one engine runs concurrently.
@@ -100,7 +100,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class CacheStoreFacts:
+class CacheStoreConfig:
     """A KV cache store that engines can read from and write to.
 
     :ivar memory_tokens: its capacity in tokens.
@@ -123,8 +123,8 @@
 
     name: str
     max_connections: int
-    engine: EngineFacts | None = None
-    cache_store: CacheStoreFacts | None = None
+    engine: EngineConfig | None = None
+    cache_store: CacheStoreConfig | None = None
 
 
 @dataclasses.dataclass(frozen=True)
@@ -221,7 +221,7 @@
             return None
         return engine.token_bytes * BITS_PER_BYTE / (slowest * MEGA)
 
-    def find_cache_store(self, part_id: str) -> CacheStoreFacts | None:
+    def find_cache_store(self, part_id: str) -> CacheStoreConfig | None:
         """Return the store for a shared part, None if there are no stores.
 
         Each part is assigned to one store by rendezvous hashing, so that the
--- a/src/lifttrestle/internal/platform/stored_format.py
+++ b/src/lifttrestle/internal/platform/stored_format.py
@@ -14,10 +14,10 @@
 
 from lifttrestle.errors import InputRefused
 from lifttrestle.internal.fleet.policy.usage_caps import UsageCap
-from lifttrestle.internal.fleet.state.catalogue import CacheStoreFacts
+from lifttrestle.internal.fleet.state.catalogue import CacheStoreConfig
 from lifttrestle.internal.fleet.state.catalogue import CallerLimits
 from lifttrestle.internal.fleet.state.catalogue import Catalogue
-from lifttrestle.internal.fleet.state.catalogue import EngineFacts
+from lifttrestle.internal.fleet.state.catalogue import EngineConfig
 from lifttrestle.internal.fleet.state.catalogue import Repeat
 from lifttrestle.internal.fleet.state.catalogue import Route
 from lifttrestle.internal.fleet.state.catalogue import Service
@@ -148,7 +148,7 @@
 def _read_service(record: ServiceRecord) -> Service:
     engine = None
     if record.engine is not None:
-        engine = EngineFacts(
+        engine = EngineConfig(
             slots=record.engine.slots,
             memory_tokens=record.engine.kv_capacity_tokens,
             models=tuple(item.name for item in record.engine.models),
@@ -157,7 +157,7 @@
         )
     cache_store = None
     if record.kv_store_addr:
-        cache_store = CacheStoreFacts(
+        cache_store = CacheStoreConfig(
             record.kv_store_addr,
             record.zone,
             record.kv_capacity_tokens,
--- a/tests/cover/test_reach.py
+++ b/tests/cover/test_reach.py
@@ -19,7 +19,7 @@
 from lifttrestle.errors import UpstreamConnectFailed
 from lifttrestle.internal.clock.manual import ManualClock
 from lifttrestle.internal.fleet.state.cache_stores import CacheStores
-from lifttrestle.internal.fleet.state.catalogue import CacheStoreFacts
+from lifttrestle.internal.fleet.state.catalogue import CacheStoreConfig
 from lifttrestle.internal.fleet.state.reach import PROBE_SECONDS
 from lifttrestle.internal.fleet.state.reach import Reachability
 from lifttrestle.internal.fleet.state.reach import SUSPECT_SECONDS
@@ -127,8 +127,8 @@
         self.assertEqual(sum(item.pool.attempts for item in others), 0)
 
     async def test_store_near_an_unreachable_upstream_is_probed(self):
-        facts = CacheStoreFacts('127.0.0.1:9', 'x', 1000)
-        store = self.stores.get(facts)
+        config = CacheStoreConfig('127.0.0.1:9', 'x', 1000)
+        store = self.stores.get(config)
         store.pool = FakePool(reachable=False)
         self.upstreams.append(make_upstream('a', 'x', reachable=False))
         await self._poll()
--- a/tests/cover/test_refused_input.py
+++ b/tests/cover/test_refused_input.py
@@ -23,7 +23,7 @@
 from lifttrestle.internal.clock.manual import ManualClock
 from lifttrestle.internal.fleet.state.catalogue import CallerLimits
 from lifttrestle.internal.fleet.state.catalogue import Catalogue
-from lifttrestle.internal.fleet.state.catalogue import EngineFacts
+from lifttrestle.internal.fleet.state.catalogue import EngineConfig
 from lifttrestle.internal.fleet.state.catalogue import Service
 from lifttrestle.internal.fleet.state.directory import UpstreamDirectory
 from lifttrestle.internal.fleet.state.load_messages import LoadReport
@@ -74,7 +74,7 @@
 }
 SERVICES = {
     's': Service('s', 8),
-    'engines': Service('engines', 8, EngineFacts(8, 9000, ('m',))),
+    'engines': Service('engines', 8, EngineConfig(8, 9000, ('m',))),
 }
 CATALOGUE = Catalogue(1, {}, SERVICES, CallerLimits(1, 1, 1.0, 1.0), None)
 JSON = st.recursive(
