--- a/src/lifttrestle/internal/fleet/path/candidates.py
+++ b/src/lifttrestle/internal/fleet/path/candidates.py
@@ -75,7 +75,7 @@
             target_version=wanted.version if wanted is not None else 0,
             urgency=get_urgency(admitted),
             slots=_get_slots(admitted, service),
-            read_seconds=parts.get_pace(service).read_seconds,
+            prefill_seconds=parts.get_pace(service).prefill_seconds,
             fetch_seconds=admitted.catalogue.get_fetch_seconds(service),
         )
         if generation is None:
--- a/src/lifttrestle/internal/fleet/policy/engine_costs.py
+++ b/src/lifttrestle/internal/fleet/policy/engine_costs.py
@@ -16,7 +16,7 @@
 
 from lifttrestle.internal.fleet.path.dialect import Generation
 from lifttrestle.internal.fleet.state.engine_pace import FIRST_STEP_SECONDS
-from lifttrestle.internal.fleet.state.engine_pace import PRIOR_READ_SECONDS
+from lifttrestle.internal.fleet.state.engine_pace import PRIOR_PREFILL_SECONDS
 from lifttrestle.internal.fleet.state.shared_parts import build_salt
 from lifttrestle.internal.fleet.state.shared_parts import SharedParts
 from lifttrestle.internal.fleet.state.upstream import FleetUpstream
@@ -88,7 +88,7 @@
     :ivar urgency: of the request; 0 is the most urgent.
     :ivar slots: maximum number of concurrent requests per engine, zero if
         unknown.
-    :ivar read_seconds: prefill time per token.
+    :ivar prefill_seconds: prefill time per token.
     :ivar fetch_seconds: time to fetch the cache of one token, None if
         unknown.
     """
@@ -98,7 +98,7 @@
     target_version: int
     urgency: int = 0
     slots: int = 0
-    read_seconds: float = PRIOR_READ_SECONDS
+    prefill_seconds: float = PRIOR_PREFILL_SECONDS
     fetch_seconds: float | None = None
 
     @property
@@ -106,7 +106,7 @@
         """Return the fetch time as a fraction of the prefill time."""
         if self.fetch_seconds is None:
             return DEFAULT_FETCH_SHARE
-        return min(self.fetch_seconds / self.read_seconds, 1.0)
+        return min(self.fetch_seconds / self.prefill_seconds, 1.0)
 
 
 def lacks_connection(upstream: FleetUpstream) -> bool:
@@ -157,7 +157,7 @@
     fetched = known * _get_miss_probability(rank) * context.fetch_share
     unread = prompt.own_tokens + unknown + round(fetched)
     queue = _estimate_queue_seconds(upstream, context)
-    prefill = unread * context.read_seconds
+    prefill = unread * context.prefill_seconds
     return EngineEstimate(unread, queue, queue + prefill + FIRST_STEP_SECONDS)
 
 
@@ -169,7 +169,7 @@
 def _estimate_queue_seconds(
     upstream: FleetUpstream, context: PlacementContext
 ) -> float:
-    queue = count_queued_tokens(upstream) * context.read_seconds
+    queue = count_queued_tokens(upstream) * context.prefill_seconds
     waited = upstream.get_oldest_wait(context.now, context.urgency)
     # The estimate is too low if the oldest request has waited longer already.
     return max(queue, waited - NORMAL_WAIT_SECONDS)
@@ -196,7 +196,7 @@
     cost += (
         _get_miss_probability(rank)
         * prompt.shared_tokens
-        * context.read_seconds
+        * context.prefill_seconds
     )
     running = upstream.in_flight + upstream.peers_in_flight
     cost += running * RUNNING_REQUEST_SECONDS
--- a/src/lifttrestle/internal/fleet/state/engine_pace.py
+++ b/src/lifttrestle/internal/fleet/state/engine_pace.py
@@ -24,7 +24,7 @@
 import collections
 
 # Assumed until there are answers: the value of the first deployment's engines.
-PRIOR_READ_SECONDS = 1 / 57_000
+PRIOR_PREFILL_SECONDS = 1 / 57_000
 # Time to first token without prefill: two steps of the engine.
 FIRST_STEP_SECONDS = 0.03
 # Size of the window; a busy router receives as many answers in two seconds.
@@ -38,14 +38,14 @@
 class EnginePace:
     """Estimates the prefill time per token of the engines of one service.
 
-    :ivar read_seconds: the estimate, seconds per token.
+    :ivar prefill_seconds: the estimate, seconds per token.
     """
 
     def __init__(self) -> None:
         self._seconds: collections.deque[float] = collections.deque(
             maxlen=MAX_ANSWERS
         )
-        self.read_seconds = PRIOR_READ_SECONDS
+        self.prefill_seconds = PRIOR_PREFILL_SECONDS
 
     def note_answer(
         self, queue_tokens: int, unread_tokens: int, seconds: float
@@ -58,10 +58,10 @@
         """
         if unread_tokens < MIN_UNREAD_TOKENS:
             return
-        prefill_seconds = max(seconds - FIRST_STEP_SECONDS, 0.0)
-        self._seconds.append(prefill_seconds / (queue_tokens + unread_tokens))
+        duration = max(seconds - FIRST_STEP_SECONDS, 0.0)
+        self._seconds.append(duration / (queue_tokens + unread_tokens))
         missing = max(MIN_ANSWERS - len(self._seconds), 0)
-        samples = sorted([*self._seconds, *[PRIOR_READ_SECONDS] * missing])
+        samples = sorted([*self._seconds, *[PRIOR_PREFILL_SECONDS] * missing])
         # The upper median. The statistics module has one, but importing it
         # for this alone would add 5 ms to each start.
-        self.read_seconds = samples[len(samples) // 2]
+        self.prefill_seconds = samples[len(samples) // 2]
--- a/tests/cover/test_fleet_placement.py
+++ b/tests/cover/test_fleet_placement.py
@@ -25,7 +25,7 @@
 from lifttrestle.internal.fleet.policy.placement import choose_engine
 from lifttrestle.internal.fleet.policy.placement import choose_plain
 from lifttrestle.internal.fleet.state.engine_pace import EnginePace
-from lifttrestle.internal.fleet.state.engine_pace import PRIOR_READ_SECONDS
+from lifttrestle.internal.fleet.state.engine_pace import PRIOR_PREFILL_SECONDS
 from lifttrestle.internal.fleet.state.shared_parts import build_salt
 from lifttrestle.internal.fleet.state.shared_parts import SharedParts
 from tests.support.directories import DirectoryCase
@@ -105,7 +105,7 @@
         self.assertEqual(cached.unread_tokens, 600)
         self.assertAlmostEqual(
             uncached.expected_seconds - cached.expected_seconds,
-            4000 * PRIOR_READ_SECONDS,
+            4000 * PRIOR_PREFILL_SECONDS,
         )
 
     def test_part_that_older_weights_read_counts_for_nothing(self):
@@ -175,31 +175,31 @@
         pace = EnginePace()
         for seconds in (0.15, 0.149, 0.151, 0.9, 0.15) * 4:
             pace.note_answer(0, 4000, seconds)
-        self.assertAlmostEqual(pace.read_seconds, 0.12 / 4000)
+        self.assertAlmostEqual(pace.prefill_seconds, 0.12 / 4000)
 
     def test_few_answers_weigh_little(self):
         pace = EnginePace()
         for _ in range(3):
             pace.note_answer(0, 4000, 4.0)
-        self.assertEqual(pace.read_seconds, PRIOR_READ_SECONDS)
+        self.assertEqual(pace.prefill_seconds, PRIOR_PREFILL_SECONDS)
 
     def test_answers_that_read_little_tell_nothing(self):
         pace = EnginePace()
         for _ in range(20):
             pace.note_answer(0, 400, 4.0)
-        self.assertEqual(pace.read_seconds, PRIOR_READ_SECONDS)
+        self.assertEqual(pace.prefill_seconds, PRIOR_PREFILL_SECONDS)
 
     def test_answers_that_waited_tell_of_the_queue_too(self):
         pace = EnginePace()
         for _ in range(20):
             pace.note_answer(12_000, 4000, 0.51)
-        self.assertAlmostEqual(pace.read_seconds, 30e-6)
+        self.assertAlmostEqual(pace.prefill_seconds, 30e-6)
 
     def test_fetching_costs_at_most_what_computing_does(self):
         slow = PlacementContext(5.0, 'a', 1, fetch_seconds=1.0)
         self.assertEqual(slow.fetch_share, 1.0)
         fast = PlacementContext(
-            5.0, 'a', 1, read_seconds=30e-6, fetch_seconds=6e-6
+            5.0, 'a', 1, prefill_seconds=30e-6, fetch_seconds=6e-6
         )
         self.assertAlmostEqual(fast.fetch_share, 0.2)
 
--- a/tests/cover/test_played_load.py
+++ b/tests/cover/test_played_load.py
@@ -34,7 +34,7 @@
     long_share=0.52,
     long_tokens=9190,
     short_tokens=826,
-    read_seconds=17.6e-6,
+    prefill_seconds=17.6e-6,
 )
 
 
--- a/tests/support/load_simulation.py
+++ b/tests/support/load_simulation.py
@@ -75,7 +75,7 @@
 
     :ivar rate: requests per second at all routers together.
     :ivar long_share: fraction of requests with ``long_tokens`` to prefill.
-    :ivar read_seconds: actual prefill time per token.
+    :ivar prefill_seconds: actual prefill time per token.
     :ivar reports_at_once: whether routers report long prompts at once.
     :ivar learns: whether routers learn the prefill rate from the answers.
     :ivar sheds: whether routers refuse requests that would wait too long.
@@ -91,7 +91,7 @@
     long_tokens: int = 7000
     short_tokens: int = 700
     target_seconds: float = 0.6
-    read_seconds: float = 30e-6
+    prefill_seconds: float = 30e-6
     reports_at_once: bool = True
     learns: bool = True
     sheds: bool = True
@@ -298,7 +298,7 @@
             'shared',
             router.parts,
             PlacementContext(
-                now, 'a', 1, read_seconds=router.pace.read_seconds
+                now, 'a', 1, prefill_seconds=router.pace.prefill_seconds
             ),
             self._source,
         )
@@ -333,7 +333,7 @@
         upstream = placement.upstream
         ticket = next(self._order)
         begun = max(now, self._free_at[upstream.instance])
-        read_at = begun + tokens * load.read_seconds
+        read_at = begun + tokens * load.prefill_seconds
         self._free_at[upstream.instance] = read_at
         upstream.in_flight += 1
         upstream.note_sent(ticket, now, unread=tokens)
