--- a/src/lifttrestle/internal/fleet/state/peer_loads.py
+++ b/src/lifttrestle/internal/fleet/state/peer_loads.py
@@ -184,7 +184,7 @@
         """Return the period of the regular reports in seconds."""
         return self._report_pacer.get_regular_seconds(self._count_reporters())
 
-    def _get_regular_seconds(self) -> float:
+    def _get_wait_seconds(self) -> float:
         """Return how long to wait for a large change before a report."""
         if uses_aggregation(self._roster.live) and not self._reported_load:
             return IDLE_SECONDS if self._usage.in_use else IDLE_REPORT_SECONDS
@@ -208,7 +208,7 @@
         while True:
             regular = False
             try:
-                async with asyncio.timeout(self._get_regular_seconds()):
+                async with asyncio.timeout(self._get_wait_seconds()):
                     await self._load_changed.wait()
             except TimeoutError:
                 self._ledger.rebuild()
--- a/tests/support/load_simulation.py
+++ b/tests/support/load_simulation.py
@@ -234,7 +234,7 @@
 
     def _report_regularly(self, router: SimulatedRouter) -> None:
         self._request_report(router, is_query=True)
-        at = self._clock.monotonic() + router.loads._get_regular_seconds()
+        at = self._clock.monotonic() + router.loads._get_wait_seconds()
         if at < self._load.seconds:
             self._schedule(at, lambda: self._report_regularly(router))
 
