--- a/src/lifttrestle/internal/fleet/state/directory.py
+++ b/src/lifttrestle/internal/fleet/state/directory.py
@@ -207,7 +207,7 @@
 
     def list_available(self, service: str) -> list[FleetUpstream]:
         """Return the upstreams of a service that accept new work."""
-        self._forget_lapsed()
+        self._remove_expired()
         return [
             upstream
             for upstream in self
@@ -237,7 +237,7 @@
             self._clock.monotonic() < self.outage_until + OUTAGE_GRACE_SECONDS
         )
 
-    def _forget_lapsed(self) -> None:
+    def _remove_expired(self) -> None:
         expired = [
             upstream
             for upstream in self._known.values()
--- a/tests/cover/test_upstream_life_model.py
+++ b/tests/cover/test_upstream_life_model.py
@@ -176,7 +176,7 @@
     """Planted fault: draining entries count as ready."""
 
     def list_available(self, service):
-        self._forget_lapsed()
+        self._remove_expired()
         return [item for item in self if not item.misdirected]
 
 
