--- a/src/lifttrestle/internal/fleet/path/answer_forwarding.py
+++ b/src/lifttrestle/internal/fleet/path/answer_forwarding.py
@@ -36,7 +36,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class InactivityTimeout:
-    """How long an upstream may send nothing before it is given up.
+    """How long an upstream may send nothing before its attempt fails.
 
     :ivar seconds: None for no limit.
     :ivar can_fail_over: whether another upstream could take the request over.
@@ -52,8 +52,8 @@
     :ivar relay: forwards the events of a stream and tracks which were sent.
     :ivar longest_pause: the longest time in seconds between two parts of a
         stream, over all attempts; zero before the second part.
-    :ivar failure: the last error answer of an upstream, which is sent to the
-        caller if no other attempt succeeds.
+    :ivar failure: the last error answer of an upstream; the caller receives it
+        if no other attempt succeeds.
     """
 
     def __init__(
@@ -69,7 +69,7 @@
         self.relay = EventRelay(connection, last_event)
         self.failure: Answer | None = None
         self.longest_pause = 0.0
-        self._part_at: float | None = None
+        self._last_part_at: float | None = None
 
     async def forward(
         self,
@@ -87,7 +87,7 @@
         if route.streams and answer.facts.status == STATUS_OK:
             await self._forward_events(upstream, answer, inactivity_timeout)
         else:
-            await self._forward_whole(route, upstream, answer)
+            await self._forward_buffered(route, upstream, answer)
         self._progress.apply(RequestEvent.END)
 
     async def _forward_events(
@@ -121,28 +121,30 @@
 
         None if no part has been received.
         """
-        return None if self._part_at is None else now - self._part_at
+        return None if self._last_part_at is None else now - self._last_part_at
 
     def _note_part(self, now: float) -> None:
-        if self._part_at is not None:
-            self.longest_pause = max(self.longest_pause, now - self._part_at)
-        self._part_at = now
+        if self._last_part_at is not None:
+            self.longest_pause = max(
+                self.longest_pause, now - self._last_part_at
+            )
+        self._last_part_at = now
 
-    async def _forward_whole(
+    async def _forward_buffered(
         self, route: Route, upstream: FleetUpstream, answer: UpstreamAnswer
     ) -> None:
         body = await answer.connection.read_body(MAX_ANSWER_BYTES)
         headers = self._parts.dialect.select_answer_headers(answer.head)
-        whole = Answer(answer.facts.status, headers, body)
+        complete = Answer(answer.facts.status, headers, body)
         try:
             raise_for_status(upstream, answer.facts)
         except UpstreamFailed:
-            if whole.status not in NOT_RUN_STATUSES or route.repeatable:
-                self.failure = whole
+            if complete.status not in NOT_RUN_STATUSES or route.repeatable:
+                self.failure = complete
             raise
         if self.relay.started:
             raise UpstreamLost(
                 f'{upstream.instance} did not resume the stream'
             )
         self._progress.apply(RequestEvent.ANSWER)
-        await self._connection.send_answer(whole)
+        await self._connection.send_answer(complete)
--- a/src/lifttrestle/internal/fleet/path/attempt.py
+++ b/src/lifttrestle/internal/fleet/path/attempt.py
@@ -74,9 +74,9 @@
 ) -> UpstreamAnswer:
     """Send a request and return its answer once the head is verified.
 
-    :param inactivity_seconds: and ``can_fail_over`` as for
-        ``read_with_timeout``.
-    :param on_limit: is called with the rate limit that the upstream announced.
+    :param inactivity_seconds: see ``read_with_timeout``.
+    :param can_fail_over: see ``read_with_timeout``.
+    :param on_limit: called with the rate limit that the upstream announced.
     :raises UpstreamLost: if no answer came; the request may have run.
     :raises UpstreamDeclined: if the upstream did not run the request.
     :raises WrongAnswer: if the answer can't be verified as the upstream's
@@ -113,14 +113,14 @@
 ) -> T:
     """Return what ``read`` returns, unless the upstream becomes inactive.
 
-    An upstream that accepts no new connections either is given up sooner.
+    The attempt fails sooner if the upstream also accepts no new connections.
 
     :param inactivity_seconds: how long an upstream may send nothing, on this
-        or any other connection, before it is given up; None for no limit.
+        or any other connection, before the attempt fails; None for no limit.
     :param can_fail_over: whether another upstream could take the request
-        over; while it returns false, the upstream is not given up.
+        over; while it returns false, the attempt does not fail.
     :param read: may be cancelled and called again.
-    :raises UpstreamLost: if the upstream is given up.
+    :raises UpstreamLost: if the upstream is inactive for too long.
     """
     if inactivity_seconds is None:
         return await read()
@@ -139,11 +139,11 @@
                 f'{upstream.instance} sent nothing for {silent_seconds:.2f} s'
             )
         try:
-            pause = max(
+            timeout = max(
                 min(inactivity_seconds - silent_seconds, SILENT_SECONDS),
                 MIN_POLL_SECONDS,
             )
-            async with asyncio.timeout(pause):
+            async with asyncio.timeout(timeout):
                 return await read()
         except TimeoutError:
             continue
@@ -198,8 +198,8 @@
     """Return whether an answer came from the intended upstream."""
     if facts.other_instance or facts.instance not in ('', upstream.instance):
         return False
-    own = facts.verified and facts.request_id == request_id
-    return own or facts.not_run
+    matches = facts.verified and facts.request_id == request_id
+    return matches or facts.not_run
 
 
 def _update_idle_timeout(upstream: FleetUpstream, facts: AnswerFacts) -> None:
--- a/src/lifttrestle/internal/fleet/path/candidates.py
+++ b/src/lifttrestle/internal/fleet/path/candidates.py
@@ -36,7 +36,7 @@
 
 
 class Candidates:
-    """The upstreams for one request, except those excluded after a failure."""
+    """The upstreams for one request, except those already tried."""
 
     def __init__(self, parts: FleetParts, facts: RequestFacts) -> None:
         self._parts = parts
@@ -59,29 +59,31 @@
         :param repeated: whether the request was sent before.
         """
         parts = self._parts
-        fit = [
+        available = [
             upstream
             for upstream in self.list_available(admitted, service)
             if not upstream.reach.unreachable
         ]
-        fit = self._select_permitted(fit, get_urgency(admitted), repeated)
+        available = self._select_permitted(
+            available, get_urgency(admitted), repeated
+        )
         generation = self._facts.generation
-        wanted = None
+        target = None
         if generation is not None:
-            wanted = parts.view.target_weights.get(generation.model)
+            target = parts.view.target_weights.get(generation.model)
         context = PlacementContext(
             now=parts.clock.monotonic(),
             data_centre=parts.settings.data_centre,
-            target_version=wanted.version if wanted is not None else 0,
+            target_version=target.version if target is not None else 0,
             urgency=get_urgency(admitted),
             slots=_get_slots(admitted, service),
             read_seconds=parts.get_pace(service).read_seconds,
             fetch_seconds=admitted.catalogue.get_fetch_seconds(service),
         )
         if generation is None:
-            return choose_plain(fit, context, parts.source)
+            return choose_plain(available, context, parts.source)
         return choose_engine(
-            fit,
+            available,
             generation,
             get_cache_scope(admitted),
             parts.sources.shared,
@@ -90,21 +92,25 @@
         )
 
     def _select_permitted(
-        self, fit: list[FleetUpstream], urgency: int, repeated: bool
+        self, available: list[FleetUpstream], urgency: int, repeated: bool
     ) -> list[FleetUpstream]:
         """Return the upstreams whose rate limits may permit this request."""
         limits = self._parts.limits
         if not limits.in_use:
-            return fit
-        unlimited = [item for item in fit if not limits.is_limited(item)]
-        if len(unlimited) == len(fit):
-            return fit
+            return available
+        unlimited = [item for item in available if not limits.is_limited(item)]
+        if len(unlimited) == len(available):
+            return available
         self.rank = rank_request(
             urgency, has_others=bool(unlimited), repeated=repeated
         )
         if repeated and unlimited:
             return unlimited
-        return [item for item in fit if not limits.is_refused(item, self.rank)]
+        return [
+            item
+            for item in available
+            if not limits.is_refused(item, self.rank)
+        ]
 
     def find_permit_seconds(self, service: str) -> float | None:
         """Return the seconds until a limited upstream may permit a request.
@@ -153,11 +159,11 @@
             for upstream in self.list_available(admitted, service)
         )
 
-    def may_become_fit(self, service: str) -> bool:
+    def may_become_available(self, service: str) -> bool:
         """Return whether an upstream remains that is worth waiting for.
 
-        An unreachable upstream is not: only a probe finds out that it is
-        back, which takes longer than a request may wait.
+        An unreachable upstream is not: only a probe can detect that it is
+        reachable again, which takes longer than a request may wait.
         """
         return bool(self._list_remaining(service))
 
--- a/src/lifttrestle/internal/fleet/path/dialect.py
+++ b/src/lifttrestle/internal/fleet/path/dialect.py
@@ -127,8 +127,8 @@
     :ivar verified: it bears the stamp of the upstream that made it.
     :ivar request_id: the request that it answers.
     :ivar not_run: the upstream states that it did not run the request.
-    :ivar other_instance: another upstream, or other weights, are at that
-        address; the request did not run.
+    :ivar other_instance: another instance answered, or one with other
+        weights; the request did not run.
     :ivar instance: the start of an upstream that answered, or an empty string
         if the answer does not name it.
     :ivar encoded: the body was changed by a content coding.
--- a/src/lifttrestle/internal/fleet/path/event_buffer.py
+++ b/src/lifttrestle/internal/fleet/path/event_buffer.py
@@ -32,13 +32,13 @@
 
 LOG = get_event_log('request')
 MILLISECONDS = 1000
-# Limit of the steps of one request; more than its attempts can produce.
-MAX_STEPS = 60
+# More than the attempts of one request can produce.
+MAX_EVENTS = 60
 
 
 @dataclasses.dataclass(frozen=True)
-class Step:
-    """One decision, when it was made, and the data that it was based on."""
+class BufferedEvent:
+    """A decision, when it was made, and the data that it was based on."""
 
     name: str
     after_seconds: float
@@ -46,46 +46,47 @@
 
 
 class EventBuffer:
-    """Buffers the steps of one request."""
+    """Buffers the log events of one request."""
 
     def __init__(self, clock: Clock, request_id: str) -> None:
         self._clock = clock
         self._request_id = request_id
         self._started = clock.monotonic()
-        self._steps: list[Step] = []
+        self._events: list[BufferedEvent] = []
 
     def add(self, name: str, **fields: object) -> None:
-        """Record a decision."""
-        if len(self._steps) < MAX_STEPS:
+        """Buffer the event of a decision."""
+        if len(self._events) < MAX_EVENTS:
             after = self._clock.monotonic() - self._started
-            self._steps.append(Step(name, after, fields))
+            self._events.append(BufferedEvent(name, after, fields))
 
     def write(self, outcome: str, *, failed: bool, **fields: object) -> None:
-        """Log all steps, with an ``ended`` step as the last.
+        """Log all events, with an ``ended`` event as the last.
 
         :param failed: log them regardless of the rate limit.
         """
         self.add('ended', outcome=outcome, **fields)
-        for step in self._steps:
+        for event in self._events:
             LOG.info(
-                f'request.{step.name}',
+                f'request.{event.name}',
                 whole=failed,
                 request=self._request_id,
-                after_ms=round(step.after_seconds * MILLISECONDS, 1),
-                **step.fields,
+                after_ms=round(event.after_seconds * MILLISECONDS, 1),
+                **event.fields,
             )
 
 
 def build_admitted_fields(
     admitted: AdmittedRequest,
     facts: RequestFacts,
-    view_age: float,
-    left: float,
-    stop_left: float,
+    view_age_seconds: float,
+    remaining_seconds: float,
+    stop_remaining_seconds: float,
 ) -> dict[str, object]:
     """Return the log fields of an admitted request.
 
-    :param stop_left: seconds until this process is killed, or infinity.
+    :param stop_remaining_seconds: seconds until this process is killed, or
+        infinity.
     """
     workspace = admitted.workspace
     return {
@@ -93,26 +94,28 @@
         'route': admitted.route.name,
         'workspace': workspace.name if workspace is not None else None,
         'configuration': admitted.catalogue.version,
-        'view_age_ms': round(view_age * MILLISECONDS),
-        'left_ms': round(left * MILLISECONDS),
+        'view_age_ms': round(view_age_seconds * MILLISECONDS),
+        'left_ms': round(remaining_seconds * MILLISECONDS),
         'target_ms': round(admitted.route.target_seconds * MILLISECONDS),
         'stop_left_ms': _to_milliseconds(
-            None if math.isinf(stop_left) else stop_left
+            None
+            if math.isinf(stop_remaining_seconds)
+            else stop_remaining_seconds
         ),
         'pause_target_ms': _to_milliseconds(admitted.route.pause_seconds),
     }
 
 
-def build_usage_fields(facts: UsageDecision) -> dict[str, object]:
+def build_usage_fields(decision: UsageDecision) -> dict[str, object]:
     """Return the log fields of a workspace's use of its cap."""
     return {
-        'units': round(facts.units),
-        'left': round(facts.remaining),
-        'used_per_s': round(facts.use),
-        'share_per_s': round(facts.share),
-        'rate_per_s': round(facts.cap.rate),
-        'burst': round(facts.cap.burst),
-        'silent_groups': facts.silent or None,
+        'units': round(decision.units),
+        'left': round(decision.remaining),
+        'used_per_s': round(decision.use),
+        'share_per_s': round(decision.share),
+        'rate_per_s': round(decision.cap.rate),
+        'burst': round(decision.cap.burst),
+        'silent_groups': decision.silent or None,
     }
 
 
--- a/src/lifttrestle/internal/fleet/path/exchange.py
+++ b/src/lifttrestle/internal/fleet/path/exchange.py
@@ -51,11 +51,11 @@
 from lifttrestle.internal.http.server_connection import ServerConnection
 from lifttrestle.internal.refusal.kind import ErrorKind
 
-# Limit of the sends of one request, including those that were declined
-# unread.
+# Maximum number of times that one request is sent, including the sends that
+# upstreams declined without running the request.
 MAX_SENDS = 4
-# An engine that declined a request is avoided for this long, within which its
-# entry or the plan of the weights is updated.
+# An engine that declined a request is avoided for this long: by then, its
+# entry or the plan of the weights has been updated.
 DECLINED_BACKOFF_SECONDS = 0.15
 FIRST_CLIENT_ERROR = 400
 _TICKETS = itertools.count()
@@ -76,7 +76,7 @@
         self._head = head
         self._facts = facts
         self._body = b''
-        self._started = parts.clock.monotonic()
+        self._received_at = parts.clock.monotonic()
         self._progress = RequestProgress()
         self._event_buffer = EventBuffer(parts.clock, facts.request_id)
         self._forwarder = AnswerForwarder(
@@ -133,7 +133,7 @@
             self._parts.metrics.count_request(
                 service or 'none',
                 outcome.partition(':')[0],
-                self._parts.clock.monotonic() - self._started,
+                self._parts.clock.monotonic() - self._received_at,
             )
 
     def _get_inactive_ms(self) -> int | None:
@@ -149,7 +149,7 @@
             self._facts,
             self._event_buffer,
             self._progress,
-            self._started,
+            self._received_at,
         )
         self._request = request
         request.digest = build_request_digest(
@@ -207,7 +207,7 @@
         ticket = next(_TICKETS)
         upstream.in_flight += 1
         try:
-            await self._exchange(chosen, ticket)
+            await self._send_and_forward(chosen, ticket)
         finally:
             upstream.in_flight -= 1
             upstream.note_ended(ticket)
@@ -274,7 +274,7 @@
         return RequestOrigin(name, admitted.route.name)
 
     def _note_declined(self, upstream: FleetUpstream, now: float) -> None:
-        """Uncount a declined attempt and avoid its upstream for a while."""
+        """Remove a declined attempt from the counts and avoid its upstream."""
         self._progress.apply(RequestEvent.DECLINED)
         self._context.runs -= 1
         if self._context.charge is not None:
@@ -284,16 +284,19 @@
         if self._facts.generation is not None:
             upstream.busy_until = max(upstream.busy_until, until)
 
-    async def _exchange(self, chosen: Placement, ticket: int) -> None:
+    async def _send_and_forward(self, chosen: Placement, ticket: int) -> None:
         upstream = chosen.upstream
         connection = await upstream.pool.take()
         try:
             assert self._sender is not None, 'attempts follow admission'
-            answer, patience = await self._sender.send(
+            answer, inactivity_timeout = await self._sender.send(
                 chosen, ticket, connection
             )
             await self._forwarder.forward(
-                self._context.admitted.route, upstream, answer, patience
+                self._context.admitted.route,
+                upstream,
+                answer,
+                inactivity_timeout,
             )
         except (UpstreamDeclined, UpstreamFailed, RequestRefused):
             # The answer was read completely, or nothing was sent.
--- a/src/lifttrestle/internal/fleet/path/order_building.py
+++ b/src/lifttrestle/internal/fleet/path/order_building.py
@@ -59,8 +59,8 @@
         store_name = admitted.catalogue.find_cache_store(last)
         if store_name is not None:
             store = request.parts.stores.get(store_name)
-            # An engine that is sent to an unreachable store waits some hundred
-            # milliseconds for it with each request.
+            # With an unreachable store, an engine would wait some hundred
+            # milliseconds for it in each request.
             address = '' if store.reach.unreachable else store.address
     salt = build_salt(get_cache_scope(admitted), generation.model, weights)
     return request.parts.sources.choose(salt, generation, address)
--- a/src/lifttrestle/internal/fleet/path/request_context.py
+++ b/src/lifttrestle/internal/fleet/path/request_context.py
@@ -34,7 +34,7 @@
 # Retry-After of refused requests: engines free a slot within that time.
 RETRY_SECONDS = 0.15
 # Lower bound of the remaining time of a request.
-MIN_LEFT_SECONDS = 0.01
+MIN_REMAINING_SECONDS = 0.01
 # Statuses by which this router promises that a request has not run. Such a
 # status of an upstream is no promise unless the answer also states explicitly
 # that the request did not run.
@@ -45,8 +45,8 @@
 class RequestContext:
     """One request and its state.
 
-    :ivar started: when it was received, in monotonic seconds.
-    :ivar deadline: when it must be answered at the latest, likewise.
+    :ivar received_at: when it was received, in monotonic seconds.
+    :ivar deadline: latest time of the answer, in monotonic seconds.
     :ivar admitted: its route and workspace by the newest configuration;
         updated with each attempt.
     :ivar service: the service whose upstreams serve it.
@@ -63,7 +63,7 @@
     admitted: AdmittedRequest
     event_buffer: EventBuffer
     progress: RequestProgress
-    started: float
+    received_at: float
     deadline: float
     service: str = ''
     sends: int = 0
@@ -84,7 +84,7 @@
     def get_remaining_seconds(self) -> float:
         """Return the seconds until the deadline."""
         now = self.parts.clock.monotonic()
-        return max(self.deadline - now, MIN_LEFT_SECONDS)
+        return max(self.deadline - now, MIN_REMAINING_SECONDS)
 
     def readmit(self) -> AdmittedRequest:
         """Admit the request again by the current configuration.
@@ -112,17 +112,17 @@
         generation = self.facts.generation
         tokens = generation.all_tokens if generation is not None else None
         charge = UsageCharge(self.parts.usage, workspace, tokens)
-        facts = charge.admit()
-        if facts is None:
+        decision = charge.admit()
+        if decision is None:
             return
-        self.event_buffer.add('usage', **build_usage_fields(facts))
-        if facts.retry_seconds is not None:
+        self.event_buffer.add('usage', **build_usage_fields(decision))
+        if decision.retry_seconds is not None:
             self.parts.metrics.count_over_cap(workspace.name)
             raise RequestRefused(
                 ErrorKind.RATE_LIMITED,
                 f'workspace {workspace.name!r} has used its cap of'
-                f' {facts.cap.rate:g} {facts.cap.unit.value} a second',
-                retry_after=facts.retry_seconds,
+                f' {decision.cap.rate:g} {decision.cap.unit.value} a second',
+                retry_after=decision.retry_seconds,
             )
         self.charge = charge
 
@@ -175,21 +175,21 @@
         return RequestRefused(kind, message, ran=ran)
 
     def correct_refusal(self, refused: RequestRefused) -> RequestRefused:
-        """Replace a refusal that would promise wrongly that nothing ran.
+        """Replace a refusal that would wrongly state that nothing ran.
 
         A repeatable request may be refused, because of its key or a stale
         view, after an attempt that may have run.
         """
         ran = self.progress.execution
-        promises = ANSWER_RULES[refused.kind].status in NOT_RUN_STATUSES
-        if ran is Execution.NOT_RUN or not promises:
+        states_not_run = ANSWER_RULES[refused.kind].status in NOT_RUN_STATUSES
+        if ran is Execution.NOT_RUN or not states_not_run:
             return refused
         return RequestRefused(
             ErrorKind.UPSTREAM_FAILED, refused.message, ran=ran
         )
 
     def _check_stopping(self) -> None:
-        """Refuse a request that may not end before this process does.
+        """Refuse a request that might outlast this process.
 
         Checked before each send, since an earlier attempt may have been
         declined or lost shortly before the process ends. A stream that has
@@ -200,14 +200,14 @@
             return
         if self.progress.state is RequestState.FIRST_BYTE:
             return
-        limit = self.get_remaining_seconds()
-        left = shutdown.get_serving_seconds()
-        if can_finish_in_time(limit, left):
+        request_seconds = self.get_remaining_seconds()
+        serving_seconds = shutdown.get_serving_seconds()
+        if can_finish_in_time(request_seconds, serving_seconds):
             return
         raise RequestRefused(
             ErrorKind.STOPPING,
-            f'this router stops in {left:.1f} s, and the request may take'
-            f' {limit:.1f} s',
+            f'this router stops in {serving_seconds:.1f} s, and the request'
+            f' may take {request_seconds:.1f} s',
             retry_after=STOPPING_RETRY_SECONDS,
         )
 
@@ -226,7 +226,7 @@
     facts: RequestFacts,
     event_buffer: EventBuffer,
     progress: RequestProgress,
-    started: float,
+    received_at: float,
 ) -> RequestContext:
     """Admit a request and return its context, with its deadline.
 
@@ -242,8 +242,8 @@
         admitted,
         event_buffer,
         progress,
-        started,
-        started + seconds,
+        received_at,
+        received_at + seconds,
     )
     request.readmit()
     return request
--- a/src/lifttrestle/internal/fleet/path/request_digest.py
+++ b/src/lifttrestle/internal/fleet/path/request_digest.py
@@ -41,14 +41,14 @@
     store is unavailable could not use what the other routers know.
     """
     workspace = admitted.workspace
-    named = (
+    fields = (
         workspace.name if workspace is not None else '',
         host,
         head.method,
         head.target,
     )
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
-    for text in named:
+    for text in fields:
         digest.update(text.encode())
         digest.update(SEPARATOR)
     digest.update(body)
--- a/src/lifttrestle/internal/fleet/path/sending.py
+++ b/src/lifttrestle/internal/fleet/path/sending.py
@@ -31,8 +31,8 @@
 
 # A repeatable request fails over once its upstream has sent nothing on any
 # connection for this multiple of the route's latency target, and never sooner
-# than after a second. An upstream that is slow but answers other requests is
-# waited for.
+# than after a second. There is no failover from an upstream that is slow but
+# answers other requests.
 INACTIVITY_TARGET_FACTOR = 2.0
 MIN_INACTIVITY_SECONDS = 1.0
 # An engine that reads from an unreachable cache store waits some hundred
@@ -113,7 +113,7 @@
             request.facts.request_id,
             inactivity_timeout.seconds,
             inactivity_timeout.can_fail_over,
-            lambda named: parts.limits.note_answer(upstream, named, sent_at),
+            lambda limit: parts.limits.note_answer(upstream, limit, sent_at),
         )
         parts.crashes.losses.note_answered(upstream, sent_at)
         self._record_answer(chosen, ticket, order, answer, sent_at)
@@ -129,15 +129,15 @@
     ) -> None:
         """Record when an answer began, compared to the expected time."""
         request = self._request
-        heard_at = self._parts.clock.monotonic()
-        seconds = heard_at - sent_at
-        chosen.upstream.note_first_byte(ticket, heard_at)
+        first_byte_at = self._parts.clock.monotonic()
+        seconds = first_byte_at - sent_at
+        chosen.upstream.note_first_byte(ticket, first_byte_at)
         self._report_load(chosen)
         self._parts.metrics.observe_first_byte(
             request.service, seconds, chosen.expected_seconds
         )
         if not self.answered_fields:
-            self._first_answer_seconds = heard_at - request.started
+            self._first_answer_seconds = first_byte_at - request.received_at
         self.answered_fields = build_answered_fields(
             chosen, seconds, self._first_answer_seconds, order
         )
@@ -180,7 +180,7 @@
             self._parts.sources.note_served(order.cache, generation)
 
     def _suspect_store(self, order: UpstreamOrder) -> None:
-        """Have a store probed that an engine may have waited for."""
+        """Request a probe of the store that the engine may have waited for."""
         if order.cache is not None and order.cache.source:
             self._parts.stores.suspect(order.cache.source)
 
--- a/src/lifttrestle/internal/fleet/path/upstream_search.py
+++ b/src/lifttrestle/internal/fleet/path/upstream_search.py
@@ -25,8 +25,8 @@
 from lifttrestle.internal.refusal.kind import ErrorKind
 
 WAIT_POLL_SECONDS = 0.01
-# Retry times of callers that no rate limit permits are spread over at least
-# this time.
+# The retry times of callers that are refused for rate limits are spread over
+# at least this time.
 PERMIT_SPREAD_SECONDS = 0.5
 
 
@@ -40,7 +40,7 @@
     """
     clock = request.parts.clock
     until = find_wait_end(
-        request.started,
+        request.received_at,
         clock.monotonic(),
         request.admitted.route.target_seconds,
         request.get_remaining_seconds(),
@@ -57,7 +57,7 @@
                 return placement
             continue
         _check_permits(request, candidates, until)
-        may_wait = candidates.may_become_fit(request.service)
+        may_wait = candidates.may_become_available(request.service)
         if clock.monotonic() >= until or not may_wait:
             break
         if not waiting:
--- a/src/lifttrestle/internal/fleet/path/watched_work.py
+++ b/src/lifttrestle/internal/fleet/path/watched_work.py
@@ -84,11 +84,14 @@
         await asyncio.gather(working, disconnected, return_exceptions=True)
 
 
-def _make_stopping_refusal(shutdown: Shutdown, missing: str) -> RequestRefused:
-    """Count and return the refusal of a request that can't be finished."""
+def _make_stopping_refusal(shutdown: Shutdown, event: str) -> RequestRefused:
+    """Count and return the refusal of a request that can't be finished.
+
+    :param event: what would have happened next.
+    """
     shutdown.given_up += 1
     return RequestRefused(
         ErrorKind.STOPPING,
-        f'this router stopped before {missing}',
+        f'this router stopped before {event}',
         retry_after=STOPPING_RETRY_SECONDS,
     )
