--- a/src/lifttrestle/internal/fleet/control_tasks.py
+++ b/src/lifttrestle/internal/fleet/control_tasks.py
@@ -26,7 +26,7 @@
 
     :param on_failed: called when a task fails or ends before it is
         cancelled, as a router must not continue without it.
-    :ivar failed: whether this has happened.
+    :ivar failed: whether a task failed or ended before it was cancelled.
     """
 
     def __init__(self, on_failed: Callable[[], None]) -> None:
--- a/src/lifttrestle/internal/fleet/gauges.py
+++ b/src/lifttrestle/internal/fleet/gauges.py
@@ -30,7 +30,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class GaugeSources:
-    """The parts of a router that gauges read."""
+    """The components of a router that gauges read."""
 
     store: RowStore
     operator_watch: TableWatch
@@ -45,9 +45,9 @@
 
 @dataclasses.dataclass(frozen=True)
 class Gauge:
-    """A gauge.
+    """The definition of one gauge.
 
-    :ivar text: help text.
+    :ivar text: help text that is exported with the gauge.
     :ivar read: returns the current value.
     """
 
@@ -60,56 +60,56 @@
     Gauge(
         'view_age_seconds',
         'Since what the operator put in force was proved current.',
-        lambda parts: parts.operator_watch.get_age(),
+        lambda sources: sources.operator_watch.get_age(),
     ),
     Gauge(
         'store_epoch',
         'Rises each time the store comes back as an older copy of itself.',
-        lambda parts: float(parts.store.epoch),
+        lambda sources: float(sources.store.epoch),
     ),
     Gauge(
         'live_routers',
         'Routers that share budgets, counted high.',
-        lambda parts: parts.roster.live,
+        lambda sources: sources.roster.live,
     ),
     Gauge(
         'upstreams',
         'Upstreams that are known.',
-        lambda parts: len(list(parts.directory)),
+        lambda sources: len(list(sources.directory)),
     ),
     Gauge(
         'reads_store',
         'One if this router reads the store itself, zero if others do.',
-        lambda parts: float(parts.relays.reads_store),
+        lambda sources: float(sources.relays.reads_store),
     ),
     Gauge(
         'followers',
         'Routers that learn of the store from this one.',
-        lambda parts: parts.relay_server.followers,
+        lambda sources: sources.relay_server.followers,
     ),
     Gauge(
         'requests_running',
         'Requests that are being served.',
-        lambda parts: parts.callers.busy,
+        lambda sources: sources.callers.busy,
     ),
     Gauge(
         'held_requests',
         'Requests that run no more, as upstreams crashed under them.',
-        lambda parts: len(parts.crashes.holds),
+        lambda sources: len(sources.crashes.holds),
     ),
     Gauge(
         'limited_upstreams',
         'Upstreams that get a request with a permit only.',
-        lambda parts: len(parts.limits),
+        lambda sources: len(sources.limits),
     ),
     Gauge(
         'limit_rate_lowest',
         'The lowest limit in force, requests a second; -1 without any.',
-        lambda parts: min(
+        lambda sources: min(
             (
-                held.known_limit.rate
-                for held in parts.limits
-                if held.known_limit.rate is not None
+                limit.known_limit.rate
+                for limit in sources.limits
+                if limit.known_limit.rate is not None
             ),
             default=-1.0,
         ),
@@ -117,9 +117,9 @@
 )
 
 
-def register_gauges(metrics: FleetMetrics, parts: GaugeSources) -> None:
+def register_gauges(metrics: FleetMetrics, sources: GaugeSources) -> None:
     """Register every gauge of a router."""
     for gauge in GAUGES:
         metrics.add_gauge(
-            gauge.name, gauge.text, functools.partial(gauge.read, parts)
+            gauge.name, gauge.text, functools.partial(gauge.read, sources)
         )
--- a/src/lifttrestle/internal/fleet/loads/engine_control.py
+++ b/src/lifttrestle/internal/fleet/loads/engine_control.py
@@ -76,14 +76,14 @@
 def _ignore_limit(
     engine: FleetUpstream, reported: ReportedLimit, sent_at: float
 ) -> None:
-    """Ignore what an answer reports of a limit."""
+    """Ignore the limit that an answer reports."""
 
 
 class EngineControl(abc.ABC):
-    """Calls engines; raises ``PlatformUnavailable`` without an answer.
+    """Calls engines; raises ``PlatformUnavailable`` if they do not answer.
 
-    :ivar note_limit: called with what each answer reports of the limit of
-        its engine, and with the time at which the call was sent.
+    :ivar note_limit: called for each answer with its engine, the limit that
+        it reports and the time at which the call was sent.
     """
 
     note_limit: LimitCallback = staticmethod(_ignore_limit)
--- a/src/lifttrestle/internal/fleet/loads/load_tracking.py
+++ b/src/lifttrestle/internal/fleet/loads/load_tracking.py
@@ -143,8 +143,8 @@
 def _must_resend(load: PendingLoad, state: EngineState | None) -> bool:
     """Return whether an order must be sent again.
 
-    If it arrives after all, one of the two expects another number of accepted
-    orders than the engine has, and is refused.
+    If the first order arrives after all, the engine refuses whichever of the
+    two comes second: both expect the same number of accepted orders.
     """
     return (
         state is not None
--- a/src/lifttrestle/internal/fleet/loads/weights_loader.py
+++ b/src/lifttrestle/internal/fleet/loads/weights_loader.py
@@ -89,7 +89,7 @@
         self._holder = holder
         self._needed_since: dict[str, float] = {}
         self._loads: dict[str, LoadTracker] = {}
-        # The state in which all engines of a model held its weights.
+        # The rollout state in which all engines had loaded a model's weights.
         self._complete_states: dict[str, tuple[int, ...]] = {}
 
     async def run(self, ticker: Ticker) -> None:
@@ -110,8 +110,7 @@
         version = self._view.target_weights[model].version
         state = self._get_rollout_state(version)
         if self._complete_states.get(model) == state:
-            # Skips the search of all engines, which each router would do ten
-            # times a second.
+            # Otherwise each router would list all engines ten times a second.
             return
         loads = self._get_loads(model)
         await loads.poll()
@@ -125,9 +124,9 @@
         self._needed_since.setdefault(model, now)
         # Read before the check: a write by another router in between makes
         # the conditional write of this row fail.
-        held = self._plans.get(model)
-        if self._may_order(model, held, now):
-            await self._load_next(model, held, loads, outdated)
+        observed = self._plans.get(model)
+        if self._may_order(model, observed, now):
+            await self._load_next(model, observed, loads, outdated)
 
     def _get_rollout_state(self, version: int) -> tuple[int, ...]:
         """Return the versions that decide which engines are outdated."""
@@ -147,30 +146,32 @@
     def _list_engines(self, model: str) -> list[FleetUpstream]:
         return list_engines(self._directory, model)
 
-    def _may_order(self, model: str, held: ObservedPlan, now: float) -> bool:
-        if self._holds_lease(held):
+    def _may_order(
+        self, model: str, observed: ObservedPlan, now: float
+    ) -> bool:
+        if self._holds_lease(observed):
             return True
-        return now >= self._find_takeover_time(model, held)
+        return now >= self._find_takeover_time(model, observed)
 
-    def _holds_lease(self, held: ObservedPlan) -> bool:
+    def _holds_lease(self, observed: ObservedPlan) -> bool:
         """Return whether this router certainly holds the lease.
 
         The holder in a restored row may be outdated, as the older copy lacks
         later takeovers.
         """
         return (
-            held.plan is not None
-            and held.plan.holder == self._holder
-            and not held.restored
+            observed.plan is not None
+            and observed.plan.holder == self._holder
+            and not observed.restored
         )
 
-    def _find_takeover_time(self, model: str, held: ObservedPlan) -> float:
+    def _find_takeover_time(self, model: str, observed: ObservedPlan) -> float:
         holder = None
-        if held.plan is not None and held.plan.holder != self._holder:
-            holder = f'{ROUTER_PREFIX}{held.plan.holder}'
+        if observed.plan is not None and observed.plan.holder != self._holder:
+            holder = f'{ROUTER_PREFIX}{observed.plan.holder}'
         lease = LeaseState(
             needed_since=self._needed_since[model],
-            held_at=held.seen_at,
+            held_at=observed.seen_at,
             holder=holder,
             lease_seconds=self.promises.lease_seconds,
         )
@@ -181,7 +182,7 @@
     async def _load_next(
         self,
         model: str,
-        held: ObservedPlan,
+        observed: ObservedPlan,
         loads: LoadTracker,
         outdated: list[FleetUpstream],
     ) -> None:
@@ -200,17 +201,17 @@
             if state is None:
                 upstream.reach.note_unreachable()
                 continue
-            known = upstream.weights.get(model, 0)
-            if known < version and not state.loading:
+            loaded_version = upstream.weights.get(model, 0)
+            if loaded_version < version and not state.loading:
                 batch.append((upstream, state))
         if not batch:
             return
         requested_at = self._clock.monotonic()
-        names = [
+        loading = [
             *loads.starts,
             *(upstream.start for upstream, _ in batch),
         ]
-        fence = await self._write_plan(model, version, held, names)
+        fence = await self._write_plan(model, version, observed, loading)
         await self._clock.sleep(PROPAGATION_SECONDS)
         orders = [
             LoadOrder(
@@ -233,7 +234,11 @@
             loads.add(upstream, order, answer)
 
     async def _write_plan(
-        self, model: str, version: int, held: ObservedPlan, loading: list[str]
+        self,
+        model: str,
+        version: int,
+        observed: ObservedPlan,
+        loading: list[str],
     ) -> int:
         loaded = [
             upstream.start
@@ -245,8 +250,8 @@
             FLEET_TABLE,
             f'{PLAN_PREFIX}{model}',
             msgspec.json.encode(plan),
-            held.row_version,
-            held.epoch,
+            observed.row_version,
+            observed.epoch,
         )
         fence = await self._store.write_row(write)
         self._plans.apply_plan(plan, fence)
@@ -260,7 +265,7 @@
             LOG.warning('weights.lease_ran_out', instance=upstream.instance)
             return False
         if self._directory.get_start(upstream.start) is None:
-            # An order to one start must not reach the next one.
+            # An order to one start of an engine must not reach a later one.
             LOG.info('weights.start_gone', instance=upstream.instance)
             return False
         try:
@@ -291,9 +296,9 @@
 
     async def _publish_completion(self, model: str) -> None:
         """Publish to the other routers that the last engines have loaded."""
-        held = self._plans.get(model)
-        plan = held.plan
-        if plan is None or not self._holds_lease(held) or not plan.loading:
+        observed = self._plans.get(model)
+        plan = observed.plan
+        if plan is None or not self._holds_lease(observed) or not plan.loading:
             return
         version = self._view.target_weights[model].version
-        await self._write_plan(model, version, held, [])
+        await self._write_plan(model, version, observed, [])
--- a/src/lifttrestle/internal/fleet/parts.py
+++ b/src/lifttrestle/internal/fleet/parts.py
@@ -45,13 +45,14 @@
     """The components of one router, built once.
 
     :ivar source: random number generator.
-    :ivar operator_watch: knows how current the operator view is.
+    :ivar operator_watch: reports how current the operator view is.
     :ivar stores: stores of cached context and whether they are reachable.
     :ivar shutdown: state of a planned stop, if one was requested.
-    :ivar crashes: requests that must not run, as they crashed upstreams.
+    :ivar crashes: requests that must not run because they crashed upstreams.
     :ivar usage: remaining usage of workspaces under their caps.
     :ivar limits: limits that overloaded upstreams report.
-    :ivar note_load_change: called when a load has changed considerably.
+    :ivar note_load_change: called when the load of an upstream has changed
+        considerably.
     :ivar refresh_loads: awaited before an engine is chosen; receives the
         workspace whose usage must be known, or None.
     :ivar budgets: retry budget of each service.
--- a/src/lifttrestle/internal/fleet/process.py
+++ b/src/lifttrestle/internal/fleet/process.py
@@ -75,9 +75,9 @@
 from lifttrestle.internal.telemetry.fleet_metrics import FleetMetrics
 
 LOG = get_event_log('router')
-# How long the store holds a long poll of each table without a change. Reads of
-# the operator table also confirm that API keys are current, so they are short;
-# few routers send them on behalf of all.
+# How long the store delays the answer to a long poll of each table if nothing
+# changes. Polls of the operator table also confirm that API keys are current,
+# so they are short; a few routers send them on behalf of all.
 OPERATOR_WAIT_SECONDS = 0.7
 UPSTREAMS_WAIT_SECONDS = 1.5
 ROUTERS_WAIT_SECONDS = 3.0
@@ -93,11 +93,11 @@
 MAX_CONNECTIONS = 1500
 # Poll interval of the settings file, which may change without a signal.
 SETTINGS_POLL_SECONDS = 5.0
-# Pause between a change and the next read: while a fleet starts, rows of
-# routers are written one after the other, and each read returned with one of
-# them. These reads are a small part of the 3,400 to 3,800 calls that 195
-# routers made at a start. Plans of weight loads, in the same table, are
-# delayed by this at most.
+# Pause between a change and the next read: while a fleet starts, the rows of
+# its routers are written one after the other, and without a pause each read
+# returned a single one. These reads are a small part of the 3,400 to 3,800
+# calls that 195 routers made at a start. Plans of weight loads, in the same
+# table, are delayed by this at most.
 ROUTERS_PAUSE_SECONDS = 0.1
 SettingsReader = Callable[[], FleetSettings | None]
 
@@ -123,7 +123,7 @@
         self.ticker = Ticker(clock, source.random())
         self._stop = asyncio.Event()
         self._reload = asyncio.Event()
-        self._control = ControlTasks(self._stop.set)
+        self._control_tasks = ControlTasks(self._stop.set)
         self.callers_address = Address('', 0)
         self.ready_address = Address('', 0)
         metrics = FleetMetrics()
@@ -136,7 +136,7 @@
         )
         self._directory = UpstreamDirectory(stored_format, clock, refusals)
         self._directory.get_catalogue = lambda: self._view.catalogue
-        self._weights = WeightsView(self._directory, clock, refusals)
+        self._weights_view = WeightsView(self._directory, clock, refusals)
         self.roster = Roster(
             store, clock, settings.vm, settings.data_centre, refusals
         )
@@ -208,12 +208,12 @@
             usage=self._usage,
             limits=self.limits,
         )
-        self._loader = WeightsLoader(
+        self._weights_loader = WeightsLoader(
             store,
             control,
             self._view,
             self._directory,
-            self._weights,
+            self._weights_view,
             self.roster,
             settings.promises,
             clock,
@@ -245,15 +245,15 @@
         ]
         self.relay_server = RelayServer(watches, clock)
         self.relays = RelayFollower(watches, self.roster, clock)
-        # Before it knows the held requests, a router would run them; before
-        # it knows the limits, it would exceed those of upstreams.
-        self._ready = ReadinessHandler(
+        # A router that does not know the held requests yet would run them, and
+        # one that does not know the limits yet would exceed them.
+        self._readiness = ReadinessHandler(
             self._parts,
             lambda: (
                 self._routers_watch.copy.loaded and self.limits.is_synced()
             ),
         )
-        self._callers = HttpServer(
+        self._callers_server = HttpServer(
             RequestHandler(self._parts).handle, _make_limits(None)
         )
         register_gauges(
@@ -265,13 +265,15 @@
                 self._directory,
                 self.relays,
                 self.relay_server,
-                self._callers,
+                self._callers_server,
                 self.crashes,
                 self.limits,
             ),
         )
-        self._probes = HttpServer(self._ready.handle, _make_limits(None))
-        self._metrics = HttpServer(
+        self._readiness_server = HttpServer(
+            self._readiness.handle, _make_limits(None)
+        )
+        self._metrics_server = HttpServer(
             MetricsHandler(metrics, self.limits, clock).handle,
             _make_limits(None),
         )
@@ -303,7 +305,7 @@
         self._view.apply_row(row)
         after = self._view.catalogue
         if after is not None and after is not before:
-            self._callers.set_limits(_make_limits(after))
+            self._callers_server.set_limits(_make_limits(after))
 
     def _apply_upstream_row(self, row: VersionedRow) -> None:
         watch = self._upstreams_watch
@@ -316,7 +318,7 @@
     def _apply_routers_row(self, row: VersionedRow) -> None:
         self.roster.loaded = True
         self.roster.apply_row(row)
-        self._weights.apply_row(row)
+        self._weights_view.apply_row(row)
         self.crashes.apply_row(row)
 
     def _note_ended(self, upstream: FleetUpstream, end: StartEnd) -> None:
@@ -355,7 +357,7 @@
     @property
     def busy(self) -> int:
         """Return the number of requests of callers in progress."""
-        return self._callers.busy
+        return self._callers_server.busy
 
     @property
     def settings(self) -> FleetSettings:
@@ -368,7 +370,7 @@
 
     def is_ready(self) -> bool:
         """Return whether requests can be served."""
-        return self._ready.is_ready()
+        return self._readiness.is_ready()
 
     async def run(self, *extra: Coroutine[None, None, None]) -> bool:
         """Serve until a signal or a fault.
@@ -381,10 +383,10 @@
             loop.add_signal_handler(number, self._stop.set)
         loop.add_signal_handler(signal.SIGHUP, self.request_reload)
         await self.start()
-        self._control.start(*extra)
+        self._control_tasks.start(*extra)
         await self._stop.wait()
         all_ended = await self.stop()
-        return all_ended and not self._control.failed
+        return all_ended and not self._control_tasks.failed
 
     async def follow_settings(self, read: SettingsReader) -> None:
         """Apply the settings whenever they change, forever.
@@ -403,17 +405,17 @@
             self._parts.settings = settings
             for budget in self._parts.budgets.values():
                 budget.promises = settings.promises
-            self._loader.promises = settings.promises
+            self._weights_loader.promises = settings.promises
             self._usage.promises = settings.promises
             LOG.info('router.settings_applied', vm=settings.vm)
 
     async def start(self) -> None:
         """Open the listeners and start the control tasks."""
         settings = self._settings
-        self.callers_address = await self._callers.start(
+        self.callers_address = await self._callers_server.start(
             parse_address(settings.callers_address)
         )
-        self.ready_address = await self._probes.start(
+        self.ready_address = await self._readiness_server.start(
             parse_address(settings.ready_address)
         )
         if settings.peers_address:
@@ -424,7 +426,9 @@
             await self._peer_loads.start(peers)
             self.roster.address = str(peers)
         if settings.metrics_address:
-            await self._metrics.start(parse_address(settings.metrics_address))
+            await self._metrics_server.start(
+                parse_address(settings.metrics_address)
+            )
         LOG.info(
             'router.started',
             callers=str(self.callers_address),
@@ -433,13 +437,13 @@
         )
         prober = ReachProber(self._directory, self.stores, self._clock)
         prober.on_probed = self.crashes.losses.note_probed
-        self._control.start(
+        self._control_tasks.start(
             self.relays.run(self.ticker),
             self._operator_watch.run(),
             self._upstreams_watch.run(),
             self._routers_watch.run(),
             self.roster.run(),
-            self._loader.run(self.ticker),
+            self._weights_loader.run(self.ticker),
             watch_stalls(self.ticker),
             prober.run(self.ticker),
             self._peer_loads.run(),
@@ -449,10 +453,10 @@
 
     async def stop(self) -> bool:
         """Stop gracefully; return whether every request was ended."""
-        all_ended = await stop_gracefully(self._parts, self._callers)
-        await self._probes.stop(0)
-        await self._metrics.stop(0)
-        await self._control.cancel()
+        all_ended = await stop_gracefully(self._parts, self._callers_server)
+        await self._readiness_server.stop(0)
+        await self._metrics_server.stop(0)
+        await self._control_tasks.cancel()
         self._peer_loads.close()
         await self.relay_server.close()
         self._directory.close()
