--- a/src/lifttrestle/internal/fleet/path/order_building.py
+++ b/src/lifttrestle/internal/fleet/path/attempt_options.py
@@ -12,8 +12,8 @@
 
 """Builds what the router adds to a request that it sends to an upstream."""
 
+from lifttrestle.internal.fleet.path.dialect import AttemptOptions
 from lifttrestle.internal.fleet.path.dialect import CacheUse
-from lifttrestle.internal.fleet.path.dialect import UpstreamOrder
 from lifttrestle.internal.fleet.path.request_context import RequestContext
 from lifttrestle.internal.fleet.policy.admission import get_cache_scope
 from lifttrestle.internal.fleet.policy.admission import get_urgency
@@ -21,10 +21,10 @@
 from lifttrestle.internal.fleet.state.upstream import FleetUpstream
 
 
-def build_order(
+def build_options(
     request: RequestContext, upstream: FleetUpstream, last_event: int | None
-) -> UpstreamOrder:
-    """Return the order for one attempt.
+) -> AttemptOptions:
+    """Return the options for one attempt.
 
     :param last_event: id of the event after which a stream resumes, or None.
     """
@@ -34,7 +34,7 @@
     weights = None
     if generation is not None:
         weights = upstream.weights.get(generation.model)
-    return UpstreamOrder(
+    return AttemptOptions(
         instance=upstream.instance,
         wait_seconds=request.get_remaining_seconds(),
         workspace=workspace.name if workspace is not None else '',
--- a/src/lifttrestle/internal/fleet/path/dialect.py
+++ b/src/lifttrestle/internal/fleet/path/dialect.py
@@ -98,7 +98,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class UpstreamOrder:
+class AttemptOptions:
     """What the router adds to a request that it sends to an upstream.
 
     :ivar instance: the only start of an upstream that may run the request.
@@ -161,7 +161,7 @@
 
     @abc.abstractmethod
     def build_head(
-        self, head: RequestHead, order: UpstreamOrder
+        self, head: RequestHead, options: AttemptOptions
     ) -> RequestHead:
         """Return the head to send to an upstream."""
 
--- a/src/lifttrestle/internal/fleet/path/event_buffer.py
+++ b/src/lifttrestle/internal/fleet/path/event_buffer.py
@@ -22,8 +22,8 @@
 
 from lifttrestle.internal.clock.clock import Clock
 from lifttrestle.internal.fleet.limits.permits import PermitDecision
+from lifttrestle.internal.fleet.path.dialect import AttemptOptions
 from lifttrestle.internal.fleet.path.dialect import RequestFacts
-from lifttrestle.internal.fleet.path.dialect import UpstreamOrder
 from lifttrestle.internal.fleet.policy.admission import AdmittedRequest
 from lifttrestle.internal.fleet.policy.placement import Placement
 from lifttrestle.internal.fleet.state.upstream import FleetUpstream
@@ -154,7 +154,7 @@
     placement: Placement,
     observed_seconds: float,
     first_answer_seconds: float,
-    order: UpstreamOrder,
+    options: AttemptOptions,
 ) -> dict[str, object]:
     """Return the log fields of an answer that began.
 
@@ -162,7 +162,7 @@
     :param first_answer_seconds: time from the arrival of the request to the
         head of its first answer.
     """
-    cache = order.cache
+    cache = options.cache
     return {
         'begun_ms': round(first_answer_seconds * MILLISECONDS, 1),
         'first_ms': round(observed_seconds * MILLISECONDS, 1),
--- a/src/lifttrestle/internal/fleet/path/sending.py
+++ b/src/lifttrestle/internal/fleet/path/sending.py
@@ -17,10 +17,10 @@
 from lifttrestle.internal.fleet.path.answer_forwarding import InactivityTimeout
 from lifttrestle.internal.fleet.path.attempt import begin_attempt
 from lifttrestle.internal.fleet.path.attempt import UpstreamAnswer
+from lifttrestle.internal.fleet.path.attempt_options import build_options
 from lifttrestle.internal.fleet.path.candidates import Candidates
-from lifttrestle.internal.fleet.path.dialect import UpstreamOrder
+from lifttrestle.internal.fleet.path.dialect import AttemptOptions
 from lifttrestle.internal.fleet.path.event_buffer import build_answered_fields
-from lifttrestle.internal.fleet.path.order_building import build_order
 from lifttrestle.internal.fleet.path.request_context import RequestContext
 from lifttrestle.internal.fleet.policy.admission import get_urgency
 from lifttrestle.internal.fleet.policy.placement import Placement
@@ -85,10 +85,10 @@
             raise request.make_refusal(
                 ErrorKind.UPSTREAM_FAILED, 'the retry budget is used up'
             )
-        order = build_order(
+        options = build_options(
             request, upstream, self._forwarder.relay.last_event
         )
-        head = parts.dialect.build_head(self._head, order)
+        head = parts.dialect.build_head(self._head, options)
         request.sends += 1
         request.runs += 1
         if request.charge is not None:
@@ -101,7 +101,7 @@
         self._report_load(chosen)
         reused = connection.exchanges > 0
         parts.metrics.count_connection(request.service, reused)
-        self._log_sent(upstream, order, reused)
+        self._log_sent(upstream, options, reused)
         inactivity_timeout = self._build_inactivity_timeout()
         answer = await begin_attempt(
             parts.clock,
@@ -116,14 +116,14 @@
             lambda limit: parts.limits.note_answer(upstream, limit, sent_at),
         )
         parts.crashes.losses.note_answered(upstream, sent_at)
-        self._record_answer(chosen, ticket, order, answer, sent_at)
+        self._record_answer(chosen, ticket, options, answer, sent_at)
         return answer, inactivity_timeout
 
     def _record_answer(
         self,
         chosen: Placement,
         ticket: int,
-        order: UpstreamOrder,
+        options: AttemptOptions,
         answer: UpstreamAnswer,
         sent_at: float,
     ) -> None:
@@ -139,11 +139,11 @@
         if not self.answered_fields:
             self._first_answer_seconds = first_byte_at - request.received_at
         self.answered_fields = build_answered_fields(
-            chosen, seconds, self._first_answer_seconds, order
+            chosen, seconds, self._first_answer_seconds, options
         )
         if seconds > chosen.expected_seconds + FETCH_LATE_SECONDS:
-            self._suspect_store(order)
-        self._record_engine_answer(chosen, order, answer, seconds)
+            self._suspect_store(options)
+        self._record_engine_answer(chosen, options, answer, seconds)
 
     def _report_load(self, chosen: Placement) -> None:
         """Report to other routers that a long prefill started or ended."""
@@ -160,7 +160,7 @@
     def _record_engine_answer(
         self,
         chosen: Placement,
-        order: UpstreamOrder,
+        options: AttemptOptions,
         answer: UpstreamAnswer,
         seconds: float,
     ) -> None:
@@ -176,13 +176,13 @@
                 answer.facts.weights,
                 self._parts.clock.monotonic(),
             )
-        if order.cache is not None:
-            self._parts.sources.note_served(order.cache, generation)
+        if options.cache is not None:
+            self._parts.sources.note_served(options.cache, generation)
 
-    def _suspect_store(self, order: UpstreamOrder) -> None:
+    def _suspect_store(self, options: AttemptOptions) -> None:
         """Request a probe of the store that the engine may have waited for."""
-        if order.cache is not None and order.cache.source:
-            self._parts.stores.suspect(order.cache.source)
+        if options.cache is not None and options.cache.source:
+            self._parts.stores.suspect(options.cache.source)
 
     def _can_fail_over(self) -> bool:
         """Return whether another upstream could take the request over."""
@@ -206,15 +206,15 @@
         return InactivityTimeout(seconds, self._can_fail_over)
 
     def _log_sent(
-        self, upstream: FleetUpstream, order: UpstreamOrder, reused: bool
+        self, upstream: FleetUpstream, options: AttemptOptions, reused: bool
     ) -> None:
         name = 'resumed' if self._forwarder.relay.started else 'sent'
         self._request.event_buffer.add(
             name,
             instance=upstream.instance,
             address=upstream.entry.address,
-            weights=order.weights,
-            last_event=order.last_event,
+            weights=options.weights,
+            last_event=options.last_event,
             in_flight=upstream.in_flight,
             kept_connection=reused,
             attempt=self._request.sends,
--- a/src/lifttrestle/internal/platform/request_dialect.py
+++ b/src/lifttrestle/internal/platform/request_dialect.py
@@ -19,11 +19,11 @@
 
 from lifttrestle.errors import RequestRefused
 from lifttrestle.internal.fleet.path.dialect import AnswerFacts
+from lifttrestle.internal.fleet.path.dialect import AttemptOptions
 from lifttrestle.internal.fleet.path.dialect import Generation
 from lifttrestle.internal.fleet.path.dialect import PromptPart
 from lifttrestle.internal.fleet.path.dialect import RequestDialect
 from lifttrestle.internal.fleet.path.dialect import RequestFacts
-from lifttrestle.internal.fleet.path.dialect import UpstreamOrder
 from lifttrestle.internal.http.answer import Answer
 from lifttrestle.internal.http.answer import Header
 from lifttrestle.internal.http.head import find_single_header
@@ -64,29 +64,29 @@
         )
 
     def build_head(
-        self, head: RequestHead, order: UpstreamOrder
+        self, head: RequestHead, options: AttemptOptions
     ) -> RequestHead:
         """Return the head to send to an upstream."""
         headers = [
             (name, value)
             for name, value in drop_hop_headers(head.headers)
             if name not in names.SYSTEM_HEADERS
-            and not (order.hide_key and name == names.AUTHORIZATION)
+            and not (options.hide_key and name == names.AUTHORIZATION)
         ]
-        wait_ms = max(int(order.wait_seconds * MILLISECONDS), 1)
+        wait_ms = max(int(options.wait_seconds * MILLISECONDS), 1)
         headers.append((names.DEADLINE, str(wait_ms)))
-        headers.append((names.EXPECT_INSTANCE, order.instance))
+        headers.append((names.EXPECT_INSTANCE, options.instance))
         optional: tuple[tuple[str, object], ...] = (
-            (names.TENANT, order.workspace or None),
-            (names.EXPECT_VERSION, order.weights),
-            (names.URGENCY, order.urgency),
-            (names.LAST_EVENT, order.last_event),
+            (names.TENANT, options.workspace or None),
+            (names.EXPECT_VERSION, options.weights),
+            (names.URGENCY, options.urgency),
+            (names.LAST_EVENT, options.last_event),
         )
-        if order.cache is not None:
+        if options.cache is not None:
             optional += (
-                (names.CACHE_SALT, order.cache.salt),
-                (names.CACHE_SOURCE, order.cache.source or None),
-                (names.CACHE_TARGET, order.cache.target or None),
+                (names.CACHE_SALT, options.cache.salt),
+                (names.CACHE_SOURCE, options.cache.source or None),
+                (names.CACHE_TARGET, options.cache.target or None),
             )
         headers.extend(
             (name, str(value)) for name, value in optional if value is not None
