--- a/src/lifttrestle/internal/fleet/path/answer_forwarding.py
+++ b/src/lifttrestle/internal/fleet/path/answer_forwarding.py
@@ -61,12 +61,12 @@
         parts: FleetParts,
         connection: ServerConnection,
         progress: RequestProgress,
-        last_event: int | None,
+        last_event_id: int | None,
     ) -> None:
         self._parts = parts
         self._connection = connection
         self._progress = progress
-        self.relay = EventRelay(connection, last_event)
+        self.relay = EventRelay(connection, last_event_id)
         self.failure: Answer | None = None
         self.longest_pause = 0.0
         self._last_part_at: float | None = None
--- a/src/lifttrestle/internal/fleet/path/attempt_options.py
+++ b/src/lifttrestle/internal/fleet/path/attempt_options.py
@@ -22,11 +22,11 @@
 
 
 def build_options(
-    request: RequestContext, upstream: FleetUpstream, last_event: int | None
+    request: RequestContext, upstream: FleetUpstream, last_event_id: int | None
 ) -> AttemptOptions:
     """Return the options for one attempt.
 
-    :param last_event: id of the event after which a stream resumes, or None.
+    :param last_event_id: event after which a stream resumes, or None.
     """
     admitted = request.admitted
     workspace = admitted.workspace
@@ -42,7 +42,7 @@
         weights=weights,
         cache=_build_cache_use(request, weights),
         urgency=get_urgency(admitted) if generation else None,
-        last_event=last_event,
+        last_event_id=last_event_id,
     )
 
 
--- a/src/lifttrestle/internal/fleet/path/dialect.py
+++ b/src/lifttrestle/internal/fleet/path/dialect.py
@@ -70,8 +70,7 @@
 
     :ivar key: the caller's API key, or None.
     :ivar wait_seconds: how long the caller waits, or None if not specified.
-    :ivar last_event: id of the last event that the caller has received, or
-        None.
+    :ivar last_event_id: last event that the caller has received, or None.
     """
 
     request_id: str
@@ -80,7 +79,7 @@
     key: str | None
     wait_seconds: float | None
     generation: Generation | None
-    last_event: int | None
+    last_event_id: int | None
 
 
 @dataclasses.dataclass(frozen=True)
@@ -107,7 +106,7 @@
     :ivar hide_key: whether the caller's API key is removed.
     :ivar weights: the only version of the weights that may be used.
     :ivar urgency: 0 is the most urgent, None for the upstream's default.
-    :ivar last_event: id of the event after which the stream resumes, or None.
+    :ivar last_event_id: event after which the stream resumes, or None.
     """
 
     instance: str
@@ -117,7 +116,7 @@
     weights: int | None = None
     cache: CacheUse | None = None
     urgency: int | None = None
-    last_event: int | None = None
+    last_event_id: int | None = None
 
 
 @dataclasses.dataclass(frozen=True)
--- a/src/lifttrestle/internal/fleet/path/event_relay.py
+++ b/src/lifttrestle/internal/fleet/path/event_relay.py
@@ -28,16 +28,16 @@
     Only complete events are sent: if a stream breaks off within an event,
     another upstream can resume it after the last event sent.
 
-    :ivar last_event: the id of the last event sent, or None.
+    :ivar last_event_id: the last event sent that has an id, or None.
     :ivar started: whether the head of the answer was sent.
     :ivar sent: how many events were sent.
     """
 
     def __init__(
-        self, connection: ServerConnection, last_event: int | None
+        self, connection: ServerConnection, last_event_id: int | None
     ) -> None:
         self._connection = connection
-        self.last_event = last_event
+        self.last_event_id = last_event_id
         self.started = False
         self.sent = 0
         self._buffer = b''
@@ -91,9 +91,9 @@
         number = _read_id(event)
         if number is None:
             return True
-        if self.last_event is not None and number <= self.last_event:
+        if self.last_event_id is not None and number <= self.last_event_id:
             return False
-        self.last_event = number
+        self.last_event_id = number
         return True
 
     async def _send(self, data: bytes) -> None:
--- a/src/lifttrestle/internal/fleet/path/exchange.py
+++ b/src/lifttrestle/internal/fleet/path/exchange.py
@@ -80,7 +80,7 @@
         self._progress = RequestProgress()
         self._event_buffer = EventBuffer(parts.clock, facts.request_id)
         self._forwarder = AnswerForwarder(
-            parts, connection, self._progress, facts.last_event
+            parts, connection, self._progress, facts.last_event_id
         )
         self._candidates = Candidates(parts, facts)
         # Both are set on admission, before the first attempt.
--- a/src/lifttrestle/internal/fleet/path/sending.py
+++ b/src/lifttrestle/internal/fleet/path/sending.py
@@ -86,7 +86,7 @@
                 ErrorKind.UPSTREAM_FAILED, 'the retry budget is used up'
             )
         options = build_options(
-            request, upstream, self._forwarder.relay.last_event
+            request, upstream, self._forwarder.relay.last_event_id
         )
         head = parts.dialect.build_head(self._head, options)
         request.sends += 1
@@ -214,7 +214,7 @@
             instance=upstream.instance,
             address=upstream.entry.address,
             weights=options.weights,
-            last_event=options.last_event,
+            last_event=options.last_event_id,
             in_flight=upstream.in_flight,
             kept_connection=reused,
             attempt=self._request.sends,
--- a/src/lifttrestle/internal/platform/request_dialect.py
+++ b/src/lifttrestle/internal/platform/request_dialect.py
@@ -58,7 +58,7 @@
             key=_read_key(head),
             wait_seconds=None if wait is None else wait / MILLISECONDS,
             generation=_read_generation(head),
-            last_event=_read_number(
+            last_event_id=_read_number(
                 head, names.LAST_EVENT, int, 'a whole number'
             ),
         )
@@ -80,7 +80,7 @@
             (names.TENANT, options.workspace or None),
             (names.EXPECT_VERSION, options.weights),
             (names.URGENCY, options.urgency),
-            (names.LAST_EVENT, options.last_event),
+            (names.LAST_EVENT, options.last_event_id),
         )
         if options.cache is not None:
             optional += (
--- a/tests/cover/test_fleet_parts.py
+++ b/tests/cover/test_fleet_parts.py
@@ -99,7 +99,7 @@
         await self.relay.feed(b'id: 1\ndata: a\n\nid: 2\nda')
         self.assertEqual(self.connection.sent, b'id: 1\ndata: a\n\n')
         await self.relay.feed(b'ta: b\n\n')
-        self.assertEqual(self.relay.last_event, 2)
+        self.assertEqual(self.relay.last_event_id, 2)
 
     async def test_nothing_is_sent_before_the_first_event(self):
         await self.relay.feed(b'id: 1\n')
@@ -124,7 +124,7 @@
         event = b'weight-versions: 4\nid: 1\ndata: a\n\n'
         await self.relay.feed(event)
         self.assertEqual(self.connection.sent, event)
-        self.assertEqual(self.relay.last_event, 1)
+        self.assertEqual(self.relay.last_event_id, 1)
 
     @given(st.lists(st.integers(1, 9), min_size=1, max_size=9))
     def test_ids_that_reach_the_caller_grow(self, numbers):
