--- a/src/lifttrestle/internal/fleet/loads/weights_loader.py
+++ b/src/lifttrestle/internal/fleet/loads/weights_loader.py
@@ -98,14 +98,14 @@
             await ticker.wait(POLL_SECONDS)
             for model in list(self._view.target_weights):
                 try:
-                    await self.serve_model(model)
+                    await self.advance_rollout(model)
                 except (PlatformUnavailable, ConditionFailed) as error:
                     LOG.info('weights.not_now', model=model, reason=str(error))
                     await self._clock.sleep(
                         self._source.uniform(POLL_SECONDS, 4 * POLL_SECONDS)
                     )
 
-    async def serve_model(self, model: str) -> None:
+    async def advance_rollout(self, model: str) -> None:
         """Take the next step of rolling out the newest weights of a model."""
         version = self._view.target_weights[model].version
         state = self._get_rollout_state(version)
--- a/tests/cover/test_fleet_weights.py
+++ b/tests/cover/test_fleet_weights.py
@@ -164,7 +164,7 @@
         if 'm' not in self.view.target_weights:
             return
         try:
-            asyncio.run(self.loader.serve_model('m'))
+            asyncio.run(self.loader.advance_rollout('m'))
         except (ConditionFailed, PlatformUnavailable):
             pass
 
