--- a/src/lifttrestle/internal/fleet/path/exchange.py
+++ b/src/lifttrestle/internal/fleet/path/exchange.py
@@ -58,7 +58,7 @@
 # entry or the plan of the weights has been updated.
 DECLINED_BACKOFF_SECONDS = 0.15
 FIRST_CLIENT_ERROR = 400
-_TICKETS = itertools.count()
+_ATTEMPT_IDS = itertools.count()
 
 
 class FleetExchange(AttemptPlan[Placement, None]):
@@ -204,13 +204,13 @@
     async def attempt(self, chosen: Placement) -> None:
         """Send the request and forward its answer."""
         upstream = chosen.upstream
-        ticket = next(_TICKETS)
+        attempt_id = next(_ATTEMPT_IDS)
         upstream.in_flight += 1
         try:
-            await self._send_and_forward(chosen, ticket)
+            await self._send_and_forward(chosen, attempt_id)
         finally:
             upstream.in_flight -= 1
-            upstream.note_ended(ticket)
+            upstream.note_ended(attempt_id)
 
     async def handle_failure(
         self, chosen: Placement, error: LifttrestleError
@@ -284,13 +284,15 @@
         if self._facts.generation is not None:
             upstream.busy_until = max(upstream.busy_until, until)
 
-    async def _send_and_forward(self, chosen: Placement, ticket: int) -> None:
+    async def _send_and_forward(
+        self, chosen: Placement, attempt_id: int
+    ) -> None:
         upstream = chosen.upstream
         connection = await upstream.pool.take()
         try:
             assert self._sender is not None, 'attempts follow admission'
             answer, inactivity_timeout = await self._sender.send(
-                chosen, ticket, connection
+                chosen, attempt_id, connection
             )
             await self._forwarder.forward(
                 self._context.admitted.route,
--- a/src/lifttrestle/internal/fleet/path/sending.py
+++ b/src/lifttrestle/internal/fleet/path/sending.py
@@ -71,7 +71,7 @@
         self._first_answer_seconds = 0.0
 
     async def send(
-        self, chosen: Placement, ticket: int, connection: ClientConnection
+        self, chosen: Placement, attempt_id: int, connection: ClientConnection
     ) -> tuple[UpstreamAnswer, InactivityTimeout]:
         """Send the request and return its answer once it has begun."""
         parts = self._parts
@@ -96,7 +96,7 @@
         request.progress.apply(RequestEvent.SEND)
         sent_at = parts.clock.monotonic()
         upstream.note_sent(
-            ticket, sent_at, get_urgency(admitted), chosen.unread_tokens
+            attempt_id, sent_at, get_urgency(admitted), chosen.unread_tokens
         )
         self._report_load(chosen)
         reused = connection.exchanges > 0
@@ -116,13 +116,13 @@
             lambda limit: parts.limits.note_answer(upstream, limit, sent_at),
         )
         parts.crashes.losses.note_answered(upstream, sent_at)
-        self._record_answer(chosen, ticket, options, answer, sent_at)
+        self._record_answer(chosen, attempt_id, options, answer, sent_at)
         return answer, inactivity_timeout
 
     def _record_answer(
         self,
         chosen: Placement,
-        ticket: int,
+        attempt_id: int,
         options: AttemptOptions,
         answer: UpstreamAnswer,
         sent_at: float,
@@ -131,7 +131,7 @@
         request = self._request
         first_byte_at = self._parts.clock.monotonic()
         seconds = first_byte_at - sent_at
-        chosen.upstream.note_first_byte(ticket, first_byte_at)
+        chosen.upstream.note_first_byte(attempt_id, first_byte_at)
         self._report_load(chosen)
         self._parts.metrics.observe_first_byte(
             request.service, seconds, chosen.expected_seconds
--- a/src/lifttrestle/internal/fleet/state/upstream.py
+++ b/src/lifttrestle/internal/fleet/state/upstream.py
@@ -68,7 +68,7 @@
     :ivar last_received_at: when it last sent anything.
     :ivar reach: whether it accepts connections.
     :ivar digest: identifies this start in messages between routers.
-    :ivar pending: unanswered requests, by ticket.
+    :ivar pending: unanswered requests, by attempt id.
     """
 
     entry: UpstreamEntry
@@ -130,15 +130,15 @@
         return sum(pending.unread_tokens for pending in self.pending.values())
 
     def note_sent(
-        self, ticket: int, now: float, urgency: int = 0, unread: int = 0
+        self, attempt_id: int, now: float, urgency: int = 0, unread: int = 0
     ) -> None:
         """Record that a request with ``unread`` uncached tokens was sent."""
-        self.pending[ticket] = PendingAnswer(now, urgency, unread)
+        self.pending[attempt_id] = PendingAnswer(now, urgency, unread)
         self.breaker.note_sent(now)
 
-    def note_first_byte(self, ticket: int, now: float) -> None:
+    def note_first_byte(self, attempt_id: int, now: float) -> None:
         """Record the first byte of an answer."""
-        pending = self.pending.pop(ticket, PendingAnswer(now, 0))
+        pending = self.pending.pop(attempt_id, PendingAnswer(now, 0))
         self.note_alive(now)
         change = (now - pending.sent_at) - self.first_byte_seconds
         self.first_byte_seconds += SMOOTHING_FACTOR * change
@@ -148,9 +148,9 @@
         self.last_received_at = now
         self.reach.note_reachable(now)
 
-    def note_ended(self, ticket: int) -> None:
+    def note_ended(self, attempt_id: int) -> None:
         """Remove a request that has ended."""
-        self.pending.pop(ticket, None)
+        self.pending.pop(attempt_id, None)
 
     def get_oldest_wait(self, now: float, urgency: int) -> float:
         """Return the longest time that an unanswered request has waited.
--- a/tests/support/load_simulation.py
+++ b/tests/support/load_simulation.py
@@ -331,19 +331,19 @@
         is_long = tokens == load.long_tokens
         now = self._clock.monotonic()
         upstream = placement.upstream
-        ticket = next(self._order)
+        attempt_id = next(self._order)
         begun = max(now, self._free_at[upstream.instance])
         read_at = begun + tokens * load.read_seconds
         self._free_at[upstream.instance] = read_at
         upstream.in_flight += 1
-        upstream.note_sent(ticket, now, unread=tokens)
+        upstream.note_sent(attempt_id, now, unread=tokens)
         if load.reports_at_once and is_long:
             self._request_report(router)
 
         def answer() -> None:
             seconds = self._clock.monotonic() - now
             upstream.in_flight -= 1
-            upstream.note_first_byte(ticket, self._clock.monotonic())
+            upstream.note_first_byte(attempt_id, self._clock.monotonic())
             if load.learns:
                 router.pace.note_answer(
                     placement.queue_tokens, tokens, seconds
