--- a/src/lifttrestle/internal/fleet/path/event_relay.py
+++ b/src/lifttrestle/internal/fleet/path/event_relay.py
@@ -28,7 +28,7 @@
     Only complete events are sent: if a stream breaks off within an event,
     another upstream can resume it after the last event sent.
 
-    :ivar last_event_id: the last event sent that has an id, or None.
+    :ivar last_event_id: id of the last event that the caller has, or None.
     :ivar started: whether the head of the answer was sent.
     :ivar sent: how many events were sent.
     """
