--- a/tests/cover/test_fleet_parts.py
+++ b/tests/cover/test_fleet_parts.py
@@ -40,7 +40,7 @@
             max_size=200,
         ),
     )
-    def test_all_routers_together_stay_within_the_whole(self, live, events):
+    def test_retries_of_all_routers_stay_within_the_budget(self, live, events):
         promises = Promises(retry_slack=56.0)
         clock = make_clock()
         budgets = [SharedRetryBudget(promises, clock) for _ in range(live)]
@@ -66,7 +66,7 @@
             whole = 0.2 * max(earned, earlier) + 56.0
             self.assertLessEqual(spent, whole)
 
-    def test_assumed_number_of_routers_leaves_a_small_budget(self):
+    def test_slack_is_divided_among_all_routers(self):
         budget = SharedRetryBudget(Promises(retry_slack=24.0), make_clock())
         taken = 0
         while budget.take(12):
@@ -95,7 +95,7 @@
         self.relay = EventRelay(self.connection, None)
         self.relay.begin_stream(200, ())
 
-    async def test_half_an_event_is_held(self):
+    async def test_incomplete_event_is_not_sent(self):
         await self.relay.feed(b'id: 1\ndata: a\n\nid: 2\nda')
         self.assertEqual(self.connection.sent, b'id: 1\ndata: a\n\n')
         await self.relay.feed(b'ta: b\n\n')
@@ -105,7 +105,7 @@
         await self.relay.feed(b'id: 1\n')
         self.assertFalse(self.relay.started)
 
-    async def test_next_run_neither_repeats_nor_joins_halves(self):
+    async def test_resumed_stream_neither_repeats_nor_joins_events(self):
         await self.relay.feed(b'id: 1\ndata: a\n\nid: 2\nda')
         self.relay.begin_stream(200, ())
         await self.relay.feed(b'id: 1\ndata: a\n\nid: 2\ndata: b\n\n')
@@ -114,7 +114,7 @@
         self.assertEqual(self.connection.sent, expected)
         self.assertTrue(self.connection.ended)
 
-    async def test_end_within_an_event_is_no_end(self):
+    async def test_stream_that_ends_within_an_event_is_not_completed(self):
         await self.relay.feed(b'id: 1\ndata: a\n\nid: 2')
         with self.assertRaises(UpstreamLost):
             await self.relay.finish()
@@ -127,7 +127,7 @@
         self.assertEqual(self.relay.last_event_id, 1)
 
     @given(st.lists(st.integers(1, 9), min_size=1, max_size=9))
-    def test_ids_that_reach_the_caller_grow(self, numbers):
+    def test_ids_sent_to_the_caller_increase(self, numbers):
         import asyncio
 
         connection = FakeConnection()
@@ -144,7 +144,7 @@
 
 
 class TestDirectory(DirectoryCase):
-    def test_draining_and_removed_entries_get_no_work(self):
+    def test_draining_and_removed_entries_are_not_available(self):
         self.put('a')
         self.put('b')
         self.put('c')
@@ -162,7 +162,7 @@
         self.clock.advance(OUTAGE_GRACE_SECONDS + 0.1)
         self.assertEqual(self.list_available(), [])
 
-    def test_entry_that_returns_after_an_outage_stays(self):
+    def test_entry_that_returns_after_an_outage_remains_available(self):
         self.put('a')
         self.directory.outage_until = self.clock.monotonic()
         self.take('a', None)
@@ -171,12 +171,12 @@
         self.clock.advance(60.0)
         self.assertEqual(self.list_available(), ['a'])
 
-    def test_weights_never_go_back(self):
+    def test_older_weights_do_not_replace_newer_ones(self):
         self.put('a', models=[3])
         self.put('a', models=[2])
         self.assertEqual(self.directory.get('a').weights, {'m': 3})
 
-    def test_silence_is_seen_by_the_oldest_unanswered_request(self):
+    def test_silence_is_measured_from_the_oldest_unanswered_request(self):
         self.put('a')
         upstream = self.directory.get('a')
         upstream.note_sent(1, 10.0)
--- a/tests/cover/test_fleet_view.py
+++ b/tests/cover/test_fleet_view.py
@@ -80,13 +80,13 @@
 
 
 class TestAdmission(ViewCase):
-    def refuse(self, facts):
+    def get_refusal(self, facts):
         with self.assertRaises(RequestRefused) as caught:
             admit(self.parts, facts)
         return caught.exception
 
-    def test_without_a_configuration_nothing_is_said_of_routes(self):
-        refused = self.refuse(make_facts())
+    def test_missing_configuration_is_not_reported_as_a_missing_route(self):
+        refused = self.get_refusal(make_facts())
         self.assertIs(refused.kind, ErrorKind.NOT_CONFIGURED)
         self.assertGreater(refused.retry_after, 0)
 
@@ -97,29 +97,29 @@
         found = admit(self.parts, make_facts('/safe/inner/x')).route
         self.assertEqual(found.prefix, '/safe/inner/')
 
-    def test_prefix_ends_at_its_slash(self):
+    def test_prefix_does_not_match_within_a_path_segment(self):
         self.configure()
-        refused = self.refuse(make_facts('/safety/x'))
+        refused = self.get_refusal(make_facts('/safety/x'))
         self.assertIs(refused.kind, ErrorKind.NOT_FOUND)
 
-    def test_stale_view_says_neither_401_nor_404(self):
+    def test_stale_view_refuses_with_neither_401_nor_404(self):
         self.configure()
         self.parts.operator_watch.age = 3.1
         for facts in (make_facts(key='new'), make_facts('/new/x')):
-            refused = self.refuse(facts)
+            refused = self.get_refusal(facts)
             self.assertIs(refused.kind, ErrorKind.NOT_CONFIGURED)
 
-    def test_known_key_is_served_just_short_of_the_bound(self):
+    def test_known_key_is_served_until_the_view_is_too_old(self):
         self.configure()
         self.parts.operator_watch.age = 4.5
         self.assertEqual(
             admit(self.parts, make_facts()).workspace.name, 'acme'
         )
         self.parts.operator_watch.age = 4.7
-        refused = self.refuse(make_facts())
+        refused = self.get_refusal(make_facts())
         self.assertIs(refused.kind, ErrorKind.NOT_CONFIGURED)
 
-    def test_route_without_keys_outlives_the_store(self):
+    def test_route_without_keys_is_served_without_the_store(self):
         self.configure()
         self.parts.operator_watch.age = 60.0
         admitted = admit(self.parts, make_facts('/open/x', key=None))
@@ -127,7 +127,7 @@
 
 
 class TestCacheStores(ViewCase):
-    def place(self, names):
+    def assign_parts(self, names):
         """Return the store of each of 300 parts."""
         stores = [
             {'name': name, 'kv_store_addr': f'10.0.0.{name[-1]}:9'}
@@ -141,25 +141,25 @@
             for part in (f'{number:x}' for number in range(300))
         }
 
-    def test_regression_parts_are_kept_in_all_stores(self):
+    def test_regression_parts_are_distributed_over_all_stores(self):
         # If all parts are assigned to the first store by name, two of three
         # stores are empty.
-        held = self.place(['keep1', 'keep2', 'keep3'])
-        counts = collections.Counter(held.values())
+        assigned = self.assign_parts(['keep1', 'keep2', 'keep3'])
+        counts = collections.Counter(assigned.values())
         self.assertEqual(len(counts), 3)
         self.assertGreater(min(counts.values()), 60)
 
-    def test_store_that_goes_moves_its_own_parts_only(self):
-        before = self.place(['keep1', 'keep2', 'keep3'])
+    def test_removed_store_moves_only_its_own_parts(self):
+        before = self.assign_parts(['keep1', 'keep2', 'keep3'])
         self.view.catalogue = None
-        after = self.place(['keep1', 'keep2'])
+        after = self.assign_parts(['keep1', 'keep2'])
         moved = [part for part in before if before[part] != after[part]]
         self.assertEqual({before[part] for part in moved}, {'10.0.0.3:9'})
 
 
 class TestVersions(ViewCase):
     @given(st.lists(st.integers(1, 9), min_size=1))
-    def test_configuration_never_goes_back(self, versions):
+    def test_older_configuration_does_not_replace_a_newer_one(self, versions):
         self.setUp()
         highest = 0
         for version in versions:
@@ -167,7 +167,7 @@
             highest = max(highest, version)
             self.assertEqual(self.view.catalogue.version, highest)
 
-    def test_unreadable_row_leaves_what_is_in_force(self):
+    def test_unreadable_row_keeps_the_configuration_in_force(self):
         self.configure()
         with self.assertLogs('lifttrestle.intake', 'ERROR'):
             self.view.apply_row(VersionedRow('config', b'{"version":', 9))
@@ -182,12 +182,12 @@
         for version in (2, 3):
             self.clock.advance(4.0)
             self.set_target_weights(version)
-        wanted = self.view.target_weights['m']
-        self.assertEqual(wanted.find_replaced_at(1), 4.0)
-        self.assertEqual(wanted.find_replaced_at(2), 8.0)
-        self.assertIsNone(wanted.find_replaced_at(3))
+        history = self.view.target_weights['m']
+        self.assertEqual(history.find_replaced_at(1), 4.0)
+        self.assertEqual(history.find_replaced_at(2), 8.0)
+        self.assertIsNone(history.find_replaced_at(3))
 
-    def test_weights_named_before_the_start_are_nearly_due(self):
+    def test_weights_older_than_the_first_target_expire_early(self):
         self.clock.advance(100.0)
         self.set_target_weights(5)
         replaced_at = self.view.target_weights['m'].find_replaced_at(4)
--- a/tests/cover/test_stall_watch.py
+++ b/tests/cover/test_stall_watch.py
@@ -40,12 +40,12 @@
 
         asyncio.run(run())
 
-    def test_freeze_is_told_with_its_length(self):
+    def test_pause_is_logged_with_its_duration(self):
         with self.assertLogs('lifttrestle.router', 'WARNING') as logs:
             self.run_for(POLL_SECONDS, POLL_SECONDS + 4.0, POLL_SECONDS)
         (record,) = logs.records
         self.assertEqual(record.fields, {'seconds': 4.0})
 
-    def test_late_wake_is_not_told(self):
+    def test_late_timer_is_not_logged_as_a_pause(self):
         with self.assertNoLogs('lifttrestle.router', 'WARNING'):
             self.run_for(POLL_SECONDS + 0.9 * STALL_SECONDS, POLL_SECONDS)
