--- a/tests/nocover/test_at_most_once.py
+++ b/tests/nocover/test_at_most_once.py
@@ -95,7 +95,7 @@
     def kill(self, router: Router) -> None:
         router.process.kill()
 
-    def test_two_routers_at_the_same_instant(self) -> None:
+    def test_concurrent_requests_at_two_routers_run_once(self) -> None:
         keys = [f'key-{number}' for number in range(40)]
         futures = [
             (key, self.submit_in_background(router, key))
@@ -109,7 +109,7 @@
             self.assertEqual(sorted(statuses[key]), [200, 409], key)
             self.assertEqual(self.count(key), 1)
 
-    def test_lost_answer_to_the_claim(self) -> None:
+    def test_lost_answer_to_the_claim_does_not_fail_the_request(self) -> None:
         self.set_table_faults(drop_answers=1)
         statuses = [
             self.submit(self.one, f'lost-{number}').status
@@ -119,7 +119,7 @@
         for number in range(5):
             self.assertEqual(self.count(f'lost-{number}'), 1)
 
-    def test_same_key_with_another_body(self) -> None:
+    def test_same_key_with_another_body_is_refused(self) -> None:
         self.assertEqual(self.submit(self.one, 'k').status, 200)
         reply = self.submit(self.two, 'k', b'another grid')
         self.assertEqual(reply.status, 422)
@@ -140,12 +140,12 @@
         self.assertEqual(reply.headers['x-should-retry'], 'false')
         self.assertEqual(self.count('k'), 1)
 
-    def test_paused_between_claim_and_send(self) -> None:
+    def test_request_runs_once_after_its_router_was_paused(self) -> None:
         pending = self.pause_in_claim('paused', 0.0)
         self.assertEqual(pending.result().status, 200)
         self.assertEqual(self.count('paused'), 1)
 
-    def test_paused_past_its_deadline(self) -> None:
+    def test_request_paused_past_its_deadline_does_not_run(self) -> None:
         pending = self.pause_in_claim('overslept', 5.0)
         reply = pending.result()
         # Either its claim has timed out or its deadline has passed.
@@ -173,7 +173,7 @@
         self.one.process.send_signal(signal.SIGCONT)
         return pending
 
-    def test_table_unavailable_before_the_claim(self) -> None:
+    def test_request_does_not_run_while_the_table_is_unavailable(self) -> None:
         self.set_table_faults(refuse=1_000_000)
         reply = self.submit(self.one, 'out')
         self.assertEqual(reply.status, 503)
@@ -185,7 +185,7 @@
         wait_until(lambda: self.submit(self.two, 'out').status != 503)
         wait_until(lambda: self.count('out') == 1)
 
-    def test_table_unavailable_during_the_run(self) -> None:
+    def test_outcome_is_recorded_after_a_table_outage(self) -> None:
         self.deployment.set_faults(self.service, delay_seconds=0.6)
         with self.wait_for_arrival(self.service, '/submissions'):
             running = self.submit_in_background(self.one, 'mid')
@@ -200,7 +200,7 @@
         wait_until(is_recorded)
         self.assertEqual(self.count('mid'), 1)
 
-    def test_service_answer_lost(self) -> None:
+    def test_request_with_a_lost_service_answer_is_not_repeated(self) -> None:
         self.deployment.set_faults(self.service, drop_answers=1)
         reply = self.submit(self.one, 'dropped')
         self.assertEqual(reply.status, 502)
@@ -210,7 +210,7 @@
         self.assertEqual(reply.status, 409)
         self.assertEqual(self.count('dropped'), 1)
 
-    def test_service_ended_before_sending(self) -> None:
+    def test_request_to_a_stopped_service_is_reported_as_not_run(self) -> None:
         address = self.deployment.addresses[self.service]
         self.deployment.standins[self.service].kill()
         reply = self.submit(self.one, 'gone')
@@ -221,21 +221,21 @@
         wait_until(lambda: self.submit(self.two, 'gone').status == 200)
         self.assertEqual(self.count('gone'), 1)
 
-    def test_router_killed_while_it_claims(self) -> None:
-        cut = self.start_claim('k1')
+    def test_claim_of_a_killed_router_is_not_taken_over(self) -> None:
+        pending = self.start_claim('k1')
         self.kill(self.one)
         self.wait_until_claimed()
-        self.assertIsNotNone(cut.exception())
+        self.assertIsNotNone(pending.exception())
         reply = self.submit(self.two, 'k1')
         self.assertEqual(reply.error['code'], 'run_unknown')
         self.assertEqual(self.count('k1'), 0)
 
-    def test_router_killed_while_the_service_runs(self) -> None:
+    def test_run_of_a_killed_router_is_not_repeated(self) -> None:
         self.deployment.set_faults(self.service, delay_seconds=0.5)
         with self.wait_for_arrival(self.service, '/submissions'):
-            cut = self.submit_in_background(self.one, 'k2')
+            pending = self.submit_in_background(self.one, 'k2')
         self.kill(self.one)
-        self.assertIsNotNone(cut.exception())
+        self.assertIsNotNone(pending.exception())
         self.deployment.set_faults(self.service)
         wait_until(lambda: self.count('k2') == 1)
         reply = self.submit(self.two, 'k2')
@@ -263,7 +263,7 @@
         wait_until(is_recorded)
         self.assertEqual(self.count('left'), 1)
 
-    def test_without_a_key_it_is_sent_at_most_once(self) -> None:
+    def test_request_without_a_key_is_sent_at_most_once(self) -> None:
         self.deployment.configure_usual(
             run_once=[{'service': SERVICE, 'path_prefix': '/submissions'}]
         )
@@ -275,9 +275,9 @@
 
 
 class TestServiceThatDropsRepeats(unittest.TestCase):
-    """Such a service remembers keys itself, so no claims are made."""
+    """Such a service remembers keys itself, so routers make no claims."""
 
-    def test_is_served_without_the_table(self) -> None:
+    def test_request_is_served_without_the_table(self) -> None:
         deployment = Deployment(
             engines=0,
             service_can='echoes_request_id = true, drops_repeats = true',
--- a/tests/nocover/test_cut_requests.py
+++ b/tests/nocover/test_cut_requests.py
@@ -96,7 +96,7 @@
 
 
 class TestCutCause(CutTestCase):
-    def test_stream_cut_by_a_stop(self) -> None:
+    def test_stream_cut_by_a_stop_is_logged_and_counted(self) -> None:
         self.open_stream()
         self.stop_at_once()
         (decision,) = self.list_lines('routing:')
@@ -105,7 +105,7 @@
         self.assertIn('ran="unknown" cause="cut by the stop"', cut)
         self.assertIn('lifttrestle.cut.stop:1|c', self.read_counters())
 
-    def test_service_call_cut_by_a_stop(self) -> None:
+    def test_service_call_cut_by_a_stop_is_logged_and_counted(self) -> None:
         name = f'{SERVICE}-bkk-silom-1'
         self.deployment.set_faults(name, delay_seconds=20.0)
         self.open(f'/{SERVICE}/slow', {})
@@ -115,7 +115,7 @@
         self.assertIn('outcome="cut by the stop"', decision)
         self.assertIn('lifttrestle.cut.stop:1|c', self.read_counters())
 
-    def test_caller_that_disconnects(self) -> None:
+    def test_caller_that_disconnects_is_logged_and_counted(self) -> None:
         self.open_stream().close()
         wait_until(lambda: self.list_lines('router: cut'))
         (decision,) = self.list_lines('routing:')
@@ -124,7 +124,7 @@
         self.assertIn('cause="caller gone"', cut)
         self.assertIn('lifttrestle.cut.caller_gone:1|c', self.read_counters())
 
-    def test_broken_stream_is_not_a_refusal(self) -> None:
+    def test_broken_stream_is_not_logged_as_a_refusal(self) -> None:
         (engine,) = self.deployment.list_engines()
         self.deployment.set_faults(engine, cut_at_token=3, cut_streams=1000)
         self.open_stream()
--- a/tests/nocover/test_fleet_bad_input.py
+++ b/tests/nocover/test_fleet_bad_input.py
@@ -43,7 +43,7 @@
             ]
         return read_status(answer), runs
 
-    async def test_length_and_chunks_together(self):
+    async def test_content_length_with_chunked_encoding_is_refused(self):
         status, runs = await self.send(
             HEAD
             + b'Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n'
@@ -52,13 +52,13 @@
         )
         self.assertEqual((status, runs), (400, []))
 
-    async def test_two_lengths(self):
+    async def test_duplicate_content_length_is_refused(self):
         status, runs = await self.send(
             HEAD + b'Content-Length: 0\r\nContent-Length: 5\r\n\r\n' + SMUGGLED
         )
         self.assertEqual((status, runs), (400, []))
 
-    async def test_request_inside_a_body_stays_a_body(self):
+    async def test_request_inside_a_body_is_not_run(self):
         length = str(len(SMUGGLED)).encode()
         status, runs = await self.send(
             HEAD
@@ -71,23 +71,23 @@
         self.assertEqual(status, 200)
         self.assertEqual([run.body for run in runs], [SMUGGLED])
 
-    async def test_torn_body_runs_nothing(self):
+    async def test_request_with_a_truncated_body_is_not_run(self):
         _, runs = await self.send(HEAD + b'Content-Length: 50\r\n\r\nhalf')
         self.assertEqual(runs, [])
 
-    async def test_head_that_is_too_long(self):
+    async def test_head_that_is_too_long_is_refused(self):
         status, runs = await self.send(
             HEAD + b'X-Long: ' + b'x' * 40_000 + b'\r\n\r\n', end=False
         )
         self.assertEqual((status, runs), (431, []))
 
-    async def test_body_that_is_too_long(self):
+    async def test_body_that_is_too_long_is_refused(self):
         status, runs = await self.send(
             HEAD + b'Content-Length: 100001\r\n\r\n', end=False
         )
         self.assertEqual((status, runs), (413, []))
 
-    async def test_headers_of_the_system_are_not_the_callers_to_set(self):
+    async def test_internal_headers_of_callers_are_removed(self):
         forged = (
             b'Tenant: vault\r\nCache-Salt: theirs\r\nKv-From: 1.2.3.4:5/6\r\n'
             b'Hold: 7\r\nPin-Ms: 9\r\nExpect-Instance: other\r\n'
@@ -105,7 +105,7 @@
         for name in ('cache-salt', 'kv-from', 'hold', 'pin-ms', 'kv-backup'):
             self.assertEqual(head.get_header(name), '', name)
 
-    async def test_header_with_invalid_number(self):
+    async def test_header_with_an_invalid_number_is_refused(self):
         status, runs = await self.send(
             HEAD
             + b'Connection: close\r\nDeadline-Ms: soon\r\n'
@@ -114,12 +114,12 @@
         )
         self.assertEqual((status, runs), (400, []))
 
-    async def test_fault_of_the_router_is_told_and_answered(self):
+    async def test_error_in_the_router_is_logged_and_answered(self):
         async with run_fleet() as fleet:
             parts = fleet.router._parts
 
             def fail(*_arguments):
-                raise ZeroDivisionError('planted')
+                raise ZeroDivisionError('injected')
 
             parts.dialect.build_head = fail
             with self.assertLogs('lifttrestle.router', 'ERROR') as logs:
--- a/tests/nocover/test_fleet_callers.py
+++ b/tests/nocover/test_fleet_callers.py
@@ -72,8 +72,8 @@
         yield '{}:{}'.format(*listener.getsockname())
 
 
-class TestCallerLeaves(unittest.IsolatedAsyncioTestCase):
-    async def test_while_it_waits_for_an_upstream(self):
+class TestCallerDisconnects(unittest.IsolatedAsyncioTestCase):
+    async def test_request_that_waits_for_an_upstream_is_not_sent(self):
         services = [{'name': 'plain', 'max_conns': 1}]
         async with run_fleet() as fleet:
             fleet.configure(
@@ -99,7 +99,7 @@
         ids = {head.get_header('request-id') for head in arrivals}
         self.assertEqual(ids, {'other-0', 'other-1', 'stayer'})
 
-    async def test_while_an_upstream_is_connected_to(self):
+    async def test_request_with_a_pending_connect_is_not_sent(self):
         with hold_connections() as address:
             async with run_fleet() as fleet:
                 entry = make_entry(service='plain', address=address)
@@ -144,7 +144,7 @@
             arrivals = list_arrivals(fleet, PLAIN)
         self.assertEqual(len(arrivals), MANY)
 
-    async def test_in_the_middle_of_a_stream(self):
+    async def test_running_stream_is_cancelled_and_not_resumed(self):
         async with run_fleet() as fleet:
             for name in ENGINES:
                 fleet.upstreams[name].released.clear()
@@ -165,7 +165,7 @@
 
 
 class TestFlood(unittest.IsolatedAsyncioTestCase):
-    async def test_ready_router_takes_connections_in_a_flood(self):
+    async def test_ready_router_accepts_a_flood_of_connections(self):
         async with run_fleet() as fleet:
             address = fleet.router.callers_address
             # Callers and the router share one event loop here. On a busy
--- a/tests/nocover/test_fleet_exchange.py
+++ b/tests/nocover/test_fleet_exchange.py
@@ -23,7 +23,7 @@
 from tests.support.fleet_upstream import Behaviour
 from tests.support.fleet_upstream import EVENTS
 
-WHOLE_STREAM = b''.join(
+COMPLETE_STREAM = b''.join(
     f'id: {number}\ndata: token {number}\n\n'.encode()
     for number in range(1, EVENTS + 1)
 )
@@ -41,7 +41,7 @@
 
 
 class TestPlainService(unittest.IsolatedAsyncioTestCase):
-    async def test_expected_latency_is_compared_with_the_answer(self):
+    async def test_error_of_the_expected_latency_is_recorded(self):
         async with run_fleet() as fleet:
             await fleet.call('/safe/a')
             count = fleet.router.registry.get_sample_value(
@@ -50,7 +50,7 @@
             )
         self.assertEqual(count, 1.0)
 
-    async def test_answer_and_request_pass_unchanged(self):
+    async def test_request_and_answer_are_forwarded_unchanged(self):
         async with run_fleet() as fleet:
             answer = await fleet.call(
                 '/once/a?b=c',
@@ -68,7 +68,9 @@
         self.assertEqual(run.head.get_header('tenant'), 'acme')
         self.assertEqual(run.head.get_header('authorization'), '')
 
-    async def test_lost_answer_of_a_once_request_may_have_run(self):
+    async def test_lost_answer_of_a_non_idempotent_request_is_not_retried(
+        self,
+    ):
         async with run_fleet() as fleet:
             script_all(fleet, PLAIN, Behaviour.LOSE)
             answer = await fleet.call('/once/a', method='POST')
@@ -101,13 +103,15 @@
         self.assertEqual(served.status, 200)
         self.assertEqual(len(runs), 1)
 
-    async def test_busy_answer_of_an_upstream_may_have_run(self):
+    async def test_status_503_of_an_upstream_is_not_reported_as_not_run(self):
         async with run_fleet() as fleet:
             script_all(fleet, PLAIN, Behaviour.LIE_BUSY)
             answer = await fleet.call('/once/a', method='POST')
         self.assertEqual(answer.status, 502)
 
-    async def test_failure_of_the_upstream_is_passed_on_with_its_mark(self):
+    async def test_error_answer_of_an_upstream_is_forwarded_with_its_stamp(
+        self,
+    ):
         async with run_fleet() as fleet:
             script_all(fleet, PLAIN, Behaviour.FAIL)
             answer = await fleet.call('/safe/a')
@@ -129,13 +133,13 @@
         self.assertEqual(answer.status, 200)
         self.assertTrue(answer.body.startswith(b'ran at p'))
 
-    async def test_time_of_the_route_ends_the_wait(self):
+    async def test_request_fails_at_the_timeout_of_its_route(self):
         async with run_fleet() as fleet:
             script_all(fleet, PLAIN, Behaviour.SILENT)
             answer = await fleet.call('/short/a', method='POST')
         self.assertEqual(answer.status, 504)
 
-    async def test_time_that_is_left_is_handed_on(self):
+    async def test_remaining_time_is_forwarded_to_the_upstream(self):
         async with run_fleet() as fleet:
             await fleet.call('/safe/a', headers=(('deadline-ms', '700'),))
             (run,) = list_runs(fleet, PLAIN)
@@ -143,7 +147,9 @@
         self.assertLessEqual(forwarded, 700)
         self.assertGreater(forwarded, 100)
 
-    async def test_caller_that_leaves_frees_the_upstream(self):
+    async def test_upstream_request_is_cancelled_when_its_caller_disconnects(
+        self,
+    ):
         async with run_fleet() as fleet:
             script_all(fleet, PLAIN, Behaviour.SILENT)
             caller = await ClientConnection.open(
@@ -164,7 +170,7 @@
 
 
 class TestAdmission(unittest.IsolatedAsyncioTestCase):
-    async def test_route_and_key_are_asked_for(self):
+    async def test_unknown_route_and_unknown_key_are_refused(self):
         async with run_fleet() as fleet:
             no_route = await fleet.call('/nowhere/a')
             no_key = await fleet.call('/safe/a', key='forged')
@@ -174,7 +180,7 @@
             (404, 401, 200),
         )
 
-    async def test_key_that_is_taken_away_ceases_to_work(self):
+    async def test_revoked_key_is_refused(self):
         async with run_fleet() as fleet:
             before = await fleet.call('/safe/a')
             fleet.configure(version=4, tenants=[])
@@ -183,7 +189,7 @@
                     pass
         self.assertEqual(before.status, 200)
 
-    async def test_header_that_stands_twice_is_refused(self):
+    async def test_duplicate_header_is_refused(self):
         async with run_fleet() as fleet:
             answer = await fleet.call(
                 '/safe/a', headers=(('authorization', 'Token k3'),)
@@ -195,9 +201,9 @@
     async def test_regression_failed_and_declined_answers_keep_connections(
         self,
     ):
-        # The connection was closed after each answer that was not a success,
-        # which for one service was a seventh of all answers, each followed by
-        # a new connection.
+        # The router closed the connection after each answer that was not a
+        # success. For one service, that was a seventh of all answers, and each
+        # was followed by a new connection.
         async with run_fleet() as fleet:
             for name in PLAIN:
                 fleet.upstreams[name].script.extend(
@@ -210,10 +216,11 @@
 
 
 class TestRetryBudget(unittest.IsolatedAsyncioTestCase):
-    async def test_regression_connection_that_fails_costs_no_retry(self):
-        # The retry budget was charged before the connection was established,
-        # so unreachable upstreams used it up although nothing had been sent
-        # twice.
+    async def test_regression_failed_connection_is_not_charged_as_a_retry(
+        self,
+    ):
+        # The router charged the retry budget before it had a connection, so
+        # unreachable upstreams used it up although nothing was sent twice.
         async with run_fleet() as fleet:
             known = fleet.router.directory
             known.get('p1').in_flight += 5
@@ -230,7 +237,7 @@
 class TestReach(unittest.IsolatedAsyncioTestCase):
     """Upstreams and a cache store that accept no connections."""
 
-    async def test_regression_engines_do_not_wait_for_a_store_that_is_gone(
+    async def test_regression_engines_do_not_wait_for_an_unreachable_store(
         self,
     ):
         # Each request made its engine read from a cache store that was cut
@@ -255,10 +262,10 @@
         self.assertEqual(first.head.get_header('kv-fetch'), '127.0.0.1:9')
         self.assertEqual(second.head.get_header('kv-fetch'), '')
 
-    async def test_regression_refused_at_once_when_none_takes_connections(
+    async def test_regression_unreachable_upstreams_are_not_tried_in_turn(
         self,
     ):
-        # Each of four upstreams behind a network partition was tried in turn,
+        # The router tried four upstreams behind a network partition in turn,
         # for 0.3 s each.
         async with run_fleet() as fleet:
             for upstream in fleet.router.directory:
@@ -273,7 +280,7 @@
 
 
 class TestRefusals(unittest.IsolatedAsyncioTestCase):
-    async def test_regression_refusal_after_a_lost_attempt_may_have_run(
+    async def test_regression_refusal_after_a_lost_attempt_is_not_503(
         self,
     ):
         # The first attempt may have run. The view then became stale, and the
@@ -293,15 +300,15 @@
 
 
 class TestStreams(unittest.IsolatedAsyncioTestCase):
-    async def test_stream_passes_whole_under_one_salt(self):
+    async def test_stream_is_forwarded_completely_with_the_shared_salt(self):
         async with run_fleet() as fleet:
             answer = await fleet.generate('text')
             (run,) = list_runs(fleet, ENGINES)
-        self.assertEqual(answer.body, WHOLE_STREAM)
+        self.assertEqual(answer.body, COMPLETE_STREAM)
         self.assertEqual(run.head.get_header('expect-version'), '1')
         self.assertEqual(run.head.get_header('cache-salt'), 'shared/m/1')
 
-    async def test_isolated_workspace_has_a_salt_of_its_own(self):
+    async def test_isolated_workspace_has_its_own_salt(self):
         async with run_fleet() as fleet:
             await fleet.generate('text', key='k3')
             (run,) = list_runs(fleet, ENGINES)
@@ -312,15 +319,15 @@
             script_all(fleet, ENGINES, Behaviour.CUT_IN_EVENT)
             fleet.upstreams['e2'].script.clear()
             fleet.upstreams['e1'].script.clear()
-            first = await self.find_first(fleet)
+            first = await self.find_first_engine(fleet)
             fleet.upstreams[first].script.append(Behaviour.CUT_IN_EVENT)
             answer = await fleet.generate('text', request_id='r2')
             runs = list_runs(fleet, ENGINES)
-        self.assertEqual(answer.body, WHOLE_STREAM)
+        self.assertEqual(answer.body, COMPLETE_STREAM)
         resumed = [run.head.get_header('last-event-id') for run in runs]
         self.assertIn('2', resumed)
 
-    async def find_first(self, fleet):
+    async def find_first_engine(self, fleet):
         await fleet.generate('text', request_id='r1')
         return next(name for name in ENGINES if fleet.upstreams[name].runs)
 
@@ -345,38 +352,38 @@
 
 
 class TestOverload(unittest.IsolatedAsyncioTestCase):
-    async def load(self, fleet, tokens):
+    async def queue_tokens(self, fleet, tokens):
         for name in ENGINES:
             engine = fleet.router.directory.get(name)
             now = asyncio.get_running_loop().time()
             engine.note_sent(-1, now, unread=tokens)
 
-    async def test_request_that_would_be_late_is_told_when_to_come_back(
+    async def test_request_that_would_be_late_is_refused_with_a_retry_time(
         self,
     ):
         async with run_fleet() as fleet:
-            await self.load(fleet, 60_000)
+            await self.queue_tokens(fleet, 60_000)
             answer = await fleet.generate('text')
             arrivals = [fleet.upstreams[name].arrivals for name in ENGINES]
         self.assertEqual(answer.status, 503)
         self.assertGreater(float(dict(answer.headers)['retry-after']), 0.1)
         self.assertEqual(arrivals, [[], []])
 
-    async def test_caller_that_came_back_is_served_as_soon_as_it_can_be(self):
-        # A retried request was queued at once behind more than a second of
-        # work, which made it late and delayed all later requests as well.
+    async def test_retried_request_is_served_once_the_engines_are_free(self):
+        # The router queued a retried request at once, behind more than a
+        # second of work. That made it late and delayed all later requests.
         async with run_fleet() as fleet:
-            await self.load(fleet, 60_000)
+            await self.queue_tokens(fleet, 60_000)
             refused = await fleet.generate('text', wait_ms=6000)
             for name in ENGINES:
                 fleet.router.directory.get(name).note_ended(-1)
             served = await fleet.generate('text', wait_ms=5000)
         self.assertEqual(refused.status, 503)
-        self.assertEqual((served.status, served.body), (200, WHOLE_STREAM))
+        self.assertEqual((served.status, served.body), (200, COMPLETE_STREAM))
 
 
 class TestMembership(unittest.IsolatedAsyncioTestCase):
-    async def test_leaving_upstream_gets_no_more_work(self):
+    async def test_draining_upstream_gets_no_more_requests(self):
         async with run_fleet() as fleet:
             leaving = fleet.upstreams['p1']
             fleet.put_upstream('plain', leaving, state='draining')
@@ -386,7 +393,7 @@
                 await fleet.call('/safe/a', request_id=str(number))
             self.assertEqual(leaving.arrivals, [])
 
-    async def test_other_instance_at_an_address_runs_nothing(self):
+    async def test_other_instance_at_an_address_does_not_run_requests(self):
         async with run_fleet() as fleet:
             for name in PLAIN:
                 fleet.upstreams[name].instance = f'new-{name}'
@@ -395,10 +402,12 @@
         self.assertEqual(answer.status, 503)
         self.assertEqual(runs, [])
 
-    async def test_regression_start_whose_address_is_taken_gets_nothing(self):
-        # The table entry of a crashed start remains for seconds. Each request
-        # was sent to its address, declined by the new start there, and charged
-        # to the retry budget.
+    async def test_regression_start_whose_address_is_taken_is_not_retried(
+        self,
+    ):
+        # The table entry of a crashed start remains for seconds. The router
+        # sent each request to its address, where the new start declined it,
+        # and charged the retry budget.
         async with run_fleet() as fleet:
             restarted = fleet.upstreams['p1']
             restarted.instance = 'i-new'
@@ -407,7 +416,7 @@
                 self.assertEqual(answer.status, 200)
             self.assertLessEqual(len(restarted.arrivals), 1)
 
-    async def test_new_weights_are_brought_to_every_engine(self):
+    async def test_new_weights_are_loaded_by_every_engine(self):
         async with run_fleet() as fleet:
             fleet.store.put('op', 'version/m', {'model': 'm', 'version': 2})
             engines = [fleet.upstreams[name] for name in ENGINES]
@@ -426,7 +435,7 @@
 
 
 class TestStop(unittest.IsolatedAsyncioTestCase):
-    async def test_stop_ends_the_streams_that_run(self):
+    async def test_stop_does_not_cut_running_streams(self):
         async with run_fleet() as fleet:
             for name in ENGINES:
                 fleet.upstreams[name].released.clear()
@@ -438,20 +447,20 @@
                 fleet.upstreams[name].released.set()
             answer = await stream
             self.assertTrue(await stopping)
-        self.assertEqual(answer.body, WHOLE_STREAM)
+        self.assertEqual(answer.body, COMPLETE_STREAM)
 
 
 class TestLoads(unittest.IsolatedAsyncioTestCase):
-    async def test_loads_are_learned_before_an_engine_is_chosen(self):
+    async def test_loads_are_refreshed_before_an_engine_is_chosen(self):
         async with run_fleet() as fleet:
-            arrived = []
+            run_counts = []
 
-            async def learn(workspace):
-                arrived.append(len(list_runs(fleet, ENGINES)))
+            async def record_run_count(workspace):
+                run_counts.append(len(list_runs(fleet, ENGINES)))
 
-            fleet.router._parts.refresh_loads = learn
+            fleet.router._parts.refresh_loads = record_run_count
             await fleet.call('/safe/a')
-            self.assertEqual(arrived, [])
+            self.assertEqual(run_counts, [])
             answer = await fleet.generate('text')
-            self.assertEqual(answer.body, WHOLE_STREAM)
-        self.assertEqual(arrived, [0])
+            self.assertEqual(answer.body, COMPLETE_STREAM)
+        self.assertEqual(run_counts, [0])
--- a/tests/nocover/test_fleet_silence.py
+++ b/tests/nocover/test_fleet_silence.py
@@ -28,7 +28,7 @@
 
 
 class TestSilence(unittest.IsolatedAsyncioTestCase):
-    async def test_store_is_asked_over_new_connections(self):
+    async def test_silent_connections_to_the_store_are_replaced(self):
         async with run_fleet() as fleet:
             await wait_until(lambda: fleet.store.peers)
             fleet.store.silenced |= fleet.store.peers
@@ -46,7 +46,7 @@
             store.put('op', 'config', {**CONFIGURATION, 'version': 9})
             await wait_until(lambda: other.catalogue.version == 9)
 
-    async def test_idempotent_requests_leave_a_silent_upstream(self):
+    async def test_idempotent_requests_fail_over_from_silent_connections(self):
         async with run_fleet() as fleet:
             for number in range(CALLS):
                 await fleet.call('/safe/a', request_id=f'first-{number}')
