--- a/tests/nocover/test_fleet_callers.py
+++ b/tests/nocover/test_fleet_callers.py
@@ -122,7 +122,7 @@
                 arrivals = list_arrivals(fleet, PLAIN)
         self.assertEqual(arrivals, [])
 
-    async def test_many_at_once_while_upstreams_are_at_work(self):
+    async def test_many_running_requests_are_cancelled(self):
         async with run_fleet() as fleet:
             for name in PLAIN:
                 fleet.upstreams[name].script.extend([Behaviour.SILENT] * MANY)
