--- a/src/lifttrestle/internal/fleet/path/order_building.py
+++ b/src/lifttrestle/internal/fleet/path/attempt_options.py
@@ -12,8 +12,8 @@
 
 """Builds what the router adds to a request that it sends to an upstream."""
 
+from lifttrestle.internal.fleet.path.dialect import AttemptOptions
 from lifttrestle.internal.fleet.path.dialect import CacheUse
-from lifttrestle.internal.fleet.path.dialect import UpstreamOrder
 from lifttrestle.internal.fleet.path.request_context import RequestContext
 from lifttrestle.internal.fleet.policy.admission import get_cache_scope
 from lifttrestle.internal.fleet.policy.admission import get_urgency
@@ -21,12 +21,12 @@
 from lifttrestle.internal.fleet.state.upstream import FleetUpstream
 
 
-def build_order(
-    request: RequestContext, upstream: FleetUpstream, last_event: int | None
-) -> UpstreamOrder:
-    """Return the order for one attempt.
+def build_options(
+    request: RequestContext, upstream: FleetUpstream, last_event_id: int | None
+) -> AttemptOptions:
+    """Return the options for one attempt.
 
-    :param last_event: id of the event after which a stream resumes, or None.
+    :param last_event_id: event after which a stream resumes, or None.
     """
     admitted = request.admitted
     workspace = admitted.workspace
@@ -34,7 +34,7 @@
     weights = None
     if generation is not None:
         weights = upstream.weights.get(generation.model)
-    return UpstreamOrder(
+    return AttemptOptions(
         instance=upstream.instance,
         wait_seconds=request.get_remaining_seconds(),
         workspace=workspace.name if workspace is not None else '',
@@ -42,7 +42,7 @@
         weights=weights,
         cache=_build_cache_use(request, weights),
         urgency=get_urgency(admitted) if generation else None,
-        last_event=last_event,
+        last_event_id=last_event_id,
     )
 
 
@@ -59,8 +59,8 @@
         store_name = admitted.catalogue.find_cache_store(last)
         if store_name is not None:
             store = request.parts.stores.get(store_name)
-            # An engine that is sent to an unreachable store waits some hundred
-            # milliseconds for it with each request.
+            # With an unreachable store, an engine would wait some hundred
+            # milliseconds for it in each request.
             address = '' if store.reach.unreachable else store.address
     salt = build_salt(get_cache_scope(admitted), generation.model, weights)
     return request.parts.sources.choose(salt, generation, address)
--- a/src/lifttrestle/internal/fleet/path/dialect.py
+++ b/src/lifttrestle/internal/fleet/path/dialect.py
@@ -70,8 +70,7 @@
 
     :ivar key: the caller's API key, or None.
     :ivar wait_seconds: how long the caller waits, or None if not specified.
-    :ivar last_event: id of the last event that the caller has received, or
-        None.
+    :ivar last_event_id: last event that the caller has received, or None.
     """
 
     request_id: str
@@ -80,7 +79,7 @@
     key: str | None
     wait_seconds: float | None
     generation: Generation | None
-    last_event: int | None
+    last_event_id: int | None
 
 
 @dataclasses.dataclass(frozen=True)
@@ -98,7 +97,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class UpstreamOrder:
+class AttemptOptions:
     """What the router adds to a request that it sends to an upstream.
 
     :ivar instance: the only start of an upstream that may run the request.
@@ -107,7 +106,7 @@
     :ivar hide_key: whether the caller's API key is removed.
     :ivar weights: the only version of the weights that may be used.
     :ivar urgency: 0 is the most urgent, None for the upstream's default.
-    :ivar last_event: id of the event after which the stream resumes, or None.
+    :ivar last_event_id: event after which the stream resumes, or None.
     """
 
     instance: str
@@ -117,7 +116,7 @@
     weights: int | None = None
     cache: CacheUse | None = None
     urgency: int | None = None
-    last_event: int | None = None
+    last_event_id: int | None = None
 
 
 @dataclasses.dataclass(frozen=True)
@@ -127,8 +126,8 @@
     :ivar verified: it bears the stamp of the upstream that made it.
     :ivar request_id: the request that it answers.
     :ivar not_run: the upstream states that it did not run the request.
-    :ivar other_instance: another upstream, or other weights, are at that
-        address; the request did not run.
+    :ivar other_instance: another instance answered, or one with other
+        weights; the request did not run.
     :ivar instance: the start of an upstream that answered, or an empty string
         if the answer does not name it.
     :ivar encoded: the body was changed by a content coding.
@@ -161,7 +160,7 @@
 
     @abc.abstractmethod
     def build_head(
-        self, head: RequestHead, order: UpstreamOrder
+        self, head: RequestHead, options: AttemptOptions
     ) -> RequestHead:
         """Return the head to send to an upstream."""
 
