--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -28,10 +28,10 @@
 import msgspec
 
 from lifttrestle.internal.configuration.change import Change
+from lifttrestle.internal.configuration.combination import combine_documents
 from lifttrestle.internal.configuration.document import Document
 from lifttrestle.internal.configuration.model import ItemKind
 from lifttrestle.internal.configuration.plan import AcceptedChange
-from lifttrestle.internal.configuration.stricter import combine_documents
 from lifttrestle.internal.membership.member import Member
 from lifttrestle.internal.membership.member import Members
 from lifttrestle.internal.membership.messages import Greeting
--- a/src/lifttrestle/internal/configuration/view.py
+++ b/src/lifttrestle/internal/configuration/view.py
@@ -14,11 +14,11 @@
 
 import dataclasses
 
+from lifttrestle.internal.configuration.combination import combine_documents
+from lifttrestle.internal.configuration.combination import CombinedDocument
 from lifttrestle.internal.configuration.document import Document
 from lifttrestle.internal.configuration.model import ItemKind
 from lifttrestle.internal.configuration.plan import Plan
-from lifttrestle.internal.configuration.stricter import combine_documents
-from lifttrestle.internal.configuration.stricter import CombinedDocument
 
 
 @dataclasses.dataclass(frozen=True)
--- a/tests/cover/test_stricter.py
+++ b/tests/cover/test_combined_document.py
@@ -20,6 +20,8 @@
 import hypothesis.strategies as st
 
 from lifttrestle.internal.configuration.change import Change
+from lifttrestle.internal.configuration.combination import combine_documents
+from lifttrestle.internal.configuration.combination import combine_workspaces
 from lifttrestle.internal.configuration.document import Document
 from lifttrestle.internal.configuration.document import encode_item
 from lifttrestle.internal.configuration.model import Embargo
@@ -27,8 +29,6 @@
 from lifttrestle.internal.configuration.model import Model
 from lifttrestle.internal.configuration.model import RunOnceRule
 from lifttrestle.internal.configuration.model import Workspace
-from lifttrestle.internal.configuration.stricter import combine_documents
-from lifttrestle.internal.configuration.stricter import combine_workspaces
 
 NAMES = st.lists(st.sampled_from('abcd'), unique=True).map(tuple)
 RELEASES = st.integers(0, 5).map(
@@ -61,7 +61,7 @@
 )
 
 
-class TestStricter(unittest.TestCase):
+class TestCombinedDocument(unittest.TestCase):
     @settings(derandomize=True, database=None, max_examples=300)
     @given(WORKSPACES, WORKSPACES)
     def test_allows_only_what_both_allow(
