--- a/src/lifttrestle/internal/configuration/combination.py
+++ b/src/lifttrestle/internal/configuration/combination.py
@@ -12,9 +12,9 @@
 
 """Combination of the accepted document with a proposed one.
 
-A router that has acknowledged a proposal can't know which of both documents
-is in force until it learns the decision. It enforces both meanwhile, by
-allowing only what both allow.
+A router that has acknowledged a proposal cannot know which of the two
+documents is in force until it learns whether the proposal was accepted or
+withdrawn. Until then, it allows only what both documents allow.
 """
 
 import dataclasses
@@ -31,8 +31,8 @@
 class CombinedDocument:
     """What two documents both allow.
 
-    :ivar held: models and services that the two define differently.
-        Requests for them wait until it is known which is in force.
+    :ivar held: models and services that the two documents define differently.
+        Requests for them wait until the router learns which is in force.
     """
 
     document: Document
@@ -42,19 +42,23 @@
 def combine_documents(
     old: Document, changes: tuple[Change, ...]
 ) -> CombinedDocument:
-    """Return what ``old`` allows both before and after ``changes``."""
+    """Combine ``old`` with the document that results from ``changes``.
+
+    The combined document omits the items that only one of the two contains,
+    and the models and services that both define differently.
+    """
     new = old.apply(changes)
     held = set()
     tables = {kind: dict(old.get_items(kind)) for kind in ItemKind}
-    for kind, name in {(item.kind, item.name) for item in changes}:
-        before = old.get_items(kind).get(name)
-        after = new.get_items(kind).get(name)
-        combined = _combine_items(before, after)
+    for kind, name in {(change.kind, change.name) for change in changes}:
+        old_item = old.get_items(kind).get(name)
+        new_item = new.get_items(kind).get(name)
+        combined = _combine_items(old_item, new_item)
         if combined is not None:
             tables[kind][name] = combined
             continue
         tables[kind].pop(name, None)
-        if before is not None and after is not None:
+        if old_item is not None and new_item is not None:
             held.add((kind, name))
     document = Document(
         tables[ItemKind.WORKSPACE],  # type: ignore[arg-type]
@@ -65,7 +69,7 @@
 
 
 def combine_workspaces(old: Workspace, new: Workspace) -> Workspace:
-    """Return a workspace that allows only what both allow."""
+    """Return a workspace that allows only what both workspaces allow."""
     return Workspace(
         name=new.name,
         data_centres=_intersect(old.data_centres, new.data_centres),
@@ -74,6 +78,7 @@
         services=_intersect(old.services, new.services),
         run_once=tuple(dict.fromkeys(old.run_once + new.run_once)),
         embargoes=_merge_embargoes(old.embargoes + new.embargoes),
+        # The larger number is the lower priority.
         priority=max(old.priority, new.priority),
         requests_per_second=min(
             old.requests_per_second, new.requests_per_second
@@ -84,16 +89,16 @@
     )
 
 
-def _combine_items(before: Item | None, after: Item | None) -> Item | None:
-    if before == after:
-        return after
-    if isinstance(before, Workspace) and isinstance(after, Workspace):
-        return combine_workspaces(before, after)
+def _combine_items(old: Item | None, new: Item | None) -> Item | None:
+    if old == new:
+        return new
+    if isinstance(old, Workspace) and isinstance(new, Workspace):
+        return combine_workspaces(old, new)
     return None
 
 
 def _intersect(old: tuple[str, ...], new: tuple[str, ...]) -> tuple[str, ...]:
-    return tuple(item for item in new if item in old)
+    return tuple(value for value in new if value in old)
 
 
 def _merge_embargoes(embargoes: tuple[Embargo, ...]) -> tuple[Embargo, ...]:
--- a/tests/cover/test_combined_document.py
+++ b/tests/cover/test_combined_document.py
@@ -10,7 +10,7 @@
 #    License for the specific language governing permissions and limitations
 #    under the License.
 
-"""Tests of the combination of the accepted and a proposed document."""
+"""Tests of the combination of the accepted document with a proposed one."""
 
 import datetime
 import unittest
@@ -90,25 +90,25 @@
                     releases[embargo.path_prefix], embargo.release
                 )
 
-    def change(self, item: Model | Workspace | None) -> Change:
+    def make_change(self, item: Model | Workspace | None) -> Change:
         kind = ItemKind.MODEL
         if isinstance(item, Workspace):
             kind = ItemKind.WORKSPACE
         return Change(kind, 'm', encode_item(item) if item else None)
 
-    def test_switch_of_weights_is_held(self) -> None:
+    def test_model_with_changed_version_is_held(self) -> None:
         old = Document(models={'m': Model('m', 'v1', 'g')})
         combined = combine_documents(
-            old, (self.change(Model('m', 'v2', 'g')),)
+            old, (self.make_change(Model('m', 'v2', 'g')),)
         )
         self.assertEqual(combined.held, {(ItemKind.MODEL, 'm')})
         self.assertEqual(combined.document.models, {})
 
-    def test_new_and_removed_items_are_absent(self) -> None:
+    def test_added_or_removed_model_is_omitted_and_not_held(self) -> None:
         old = Document(models={'m': Model('m', 'v1', 'g')})
-        removed = combine_documents(old, (self.change(None),))
+        removed = combine_documents(old, (self.make_change(None),))
         added = combine_documents(
-            Document(), (self.change(Model('m', 'v1', 'g')),)
+            Document(), (self.make_change(Model('m', 'v1', 'g')),)
         )
         for combined in (removed, added):
             self.assertEqual(combined.document.models, {})
