--- a/tests/cover/test_load_sums.py
+++ b/tests/cover/test_load_sums.py
@@ -290,7 +290,7 @@
 
     def test_parts_computed_for_one_router_are_known_to_all(self):
         sender = self.fleet.routers['r0']
-        sender.parts._remember(77, 0.0)
+        sender.parts._record(77, 0.0)
         sender.parts._unreported.append(77)
         for _ in range(2):
             self.fleet.run_round()
